--- a/bilberrydrum/batches/demand.py
+++ b/bilberrydrum/batches/demand.py
@@ -1,68 +1,71 @@
-"""What trainers ask for lately: how much work, and under which versions."""
+"""Track what trainers have asked for recently: amount of work and weight versions."""
 
 from collections.abc import Mapping, Sequence
 from typing import Final
 
-# The newest version is known this long after the step that was handed in with it.
-LAG_SECONDS: Final = 0.3
+# A trainer announces a version and submits a step at the same time. This many seconds
+# after the step the announcement is known too.
+VERSION_DELAY_SECONDS: Final = 0.3
 
 
 class Demand:
-    """How much work each model's trainer has asked for lately."""
+    """How much work each model's trainer has asked for within a time window."""
 
     def __init__(self, window_seconds: float) -> None:
         self._window_seconds = window_seconds
-        self._noted: list[tuple[float, str, float]] = []
+        self._entries: list[tuple[float, str, float]] = []
 
-    def note(self, model_name: str, amount: float, now: float) -> None:
-        """Note work that was asked for."""
-        self._noted.append((now, model_name, amount))
+    def record(self, model_name: str, amount: float, now: float) -> None:
+        """Record work that was asked for."""
+        self._entries.append((now, model_name, amount))
 
     def by_model(self, models: Sequence[str], now: float) -> dict[str, float]:
-        """Return the demand of the last window by model, those without included."""
+        """Return the demand within the window for each of `models`; it may be 0."""
         since = now - self._window_seconds
-        self._noted = [each for each in self._noted if each[0] >= since]
+        self._entries = [each for each in self._entries if each[0] >= since]
         demand = dict.fromkeys(models, 0.0)
-        for _, model_name, amount in self._noted:
+        for _, model_name, amount in self._entries:
             if model_name in demand:
                 demand[model_name] += amount
         return demand
 
 
 class NamedVersions:
-    """When versions were named, and how old a version a model's steps allow."""
+    """When each model's newest version was announced, and the staleness allowed."""
 
     def __init__(self) -> None:
         self._versions_by_model: dict[str, int] = {}
         self._named_at_by_model: dict[str, float] = {}
         self._lags_by_model: dict[str, int] = {}
-        # Oldest version that the newest step allows, and when the step came.
+        # The oldest version that a model's newest step allows, and when that step was
+        # submitted.
         self._new_steps_by_model: dict[str, tuple[int, float]] = {}
 
-    def note(self, versions_by_model: Mapping[str, int], now: float) -> None:
-        """Take in the newest versions."""
+    def record(self, versions_by_model: Mapping[str, int], now: float) -> None:
+        """Record the newest version announced for each model."""
         for name, version in versions_by_model.items():
             if self._versions_by_model.get(name) != version:
                 self._versions_by_model[name] = version
                 self._named_at_by_model[name] = now
-        for name, (min_version, came_at) in list(self._new_steps_by_model.items()):
-            if now - came_at >= LAG_SECONDS:
+        for name, (min_version, submitted_at) in list(self._new_steps_by_model.items()):
+            if now - submitted_at >= VERSION_DELAY_SECONDS:
                 newest = self._versions_by_model.get(name, min_version)
                 self._lags_by_model[name] = max(newest - min_version, 0)
                 del self._new_steps_by_model[name]
 
-    def note_step(self, model_name: str, min_version: int, now: float) -> None:
-        """Take in the oldest version that a new step allows.
+    def record_step(self, model_name: str, min_version: int, now: float) -> None:
+        """Record the oldest version that a new step allows.
 
-        Its trainer has named a version just before. The news of that takes another
-        way and may come after the step, so the two are compared a little later.
+        The trainer has announced a version just before. That update arrives by another
+        path and possibly after the step, so the two are compared only after
+        `VERSION_DELAY_SECONDS`.
         """
         self._new_steps_by_model[model_name] = (min_version, now)
 
     def named_at(self, model_name: str) -> float:
-        """Return when the newest version was heard of; long ago if it is not known."""
+        """Return when the newest version became known; minus infinity if none is."""
         return self._named_at_by_model.get(model_name, float("-inf"))
 
     def lag(self, model_name: str) -> int:
-        """Return by how many versions an engine may be behind; 0: not known."""
+        """Return by how many versions an engine may be behind; 0 if not known."""
         return self._lags_by_model.get(model_name, 0)
--- a/bilberrydrum/batches/engine_shares.py
+++ b/bilberrydrum/batches/engine_shares.py
@@ -1,9 +1,10 @@
-"""Split the engines among the models that are trained.
+"""Divide the engines among the models that are being trained.
 
-An engine that serves one model loads each version of it once and keeps its prompts in
-memory; engines that serve all models load as many versions as there are models, and
-drop what they hold each time. So each model gets a share of the engines by its demand,
-at least one, and keeps the engines it has while its share stays.
+An engine that serves a single model loads each version of it once and keeps the prompts
+in its cache. An engine that served all models would load a version of each of them, and
+lose its cache with each load. So each model gets a share of the engines in proportion
+to its demand, but at least one engine, and keeps its engines while its share is
+unchanged.
 """
 
 import math
@@ -11,19 +12,20 @@
 
 import attrs
 
-# A model's share follows its demand only if it is off by more than this many engines:
-# an engine that changes hands costs a load of weights.
+# While the set of engines is unchanged, the shares are recomputed only if one differs
+# from the model's demand by more than this many engines: each engine that is reassigned
+# costs a load of weights.
 HYSTERESIS_ENGINES = 0.75
 
 
 @attrs.frozen
 class Shares:
-    """The engines of each model."""
+    """The engines assigned to each model."""
 
     engine_ids_by_model: dict[str, frozenset[str]] = attrs.field(factory=dict)
 
     def models_of(self, engine_id: str) -> list[str]:
-        """Return the models that an engine serves."""
+        """Return the models that an engine is assigned to."""
         return [
             model
             for model, engine_ids in self.engine_ids_by_model.items()
@@ -36,17 +38,19 @@
     demand_by_model: Mapping[str, float],
     previous: Shares,
 ) -> Shares:
-    """Return the engines of each model.
+    """Assign the engines to the models.
+
+    If there are fewer engines than models, each engine is assigned to all models.
 
     Parameters
     ----------
     engine_ids : collection of str
         The engines that can be used.
     demand_by_model : mapping of str to float
-        Work that each model's trainer asks for, in any unit; models without demand
-        get an engine as well, if there is one to spare.
+        Work that each model's trainer asks for, in any unit. A model with a demand of 0
+        gets one engine.
     previous : Shares
-        The engines that the models have had.
+        The assignment so far.
     """
     models = sorted(demand_by_model)
     if not models or not engine_ids:
@@ -55,7 +59,7 @@
         everything = frozenset(engine_ids)
         return Shares({model: everything for model in models})
     quotas = _quotas(len(engine_ids), demand_by_model, models, previous, engine_ids)
-    return Shares(_hand_out(sorted(engine_ids), quotas, previous))
+    return Shares(_assign_engines(sorted(engine_ids), quotas, previous))
 
 
 def _quotas(
@@ -90,12 +94,14 @@
             largest = max(models, key=lambda each: (quotas[each], each))
         quotas[largest] -= 1
     while sum(quotas.values()) < n_engines:
-        neediest = max(models, key=lambda each: (exact[each] - quotas[each], each))
-        quotas[neediest] += 1
+        furthest_below = max(
+            models, key=lambda each: (exact[each] - quotas[each], each)
+        )
+        quotas[furthest_below] += 1
     return quotas
 
 
-def _hand_out(
+def _assign_engines(
     engine_ids: list[str], quotas: Mapping[str, int], previous: Shares
 ) -> dict[str, frozenset[str]]:
     free = set(engine_ids)
--- a/bilberrydrum/batches/engines.py
+++ b/bilberrydrum/batches/engines.py
@@ -1,4 +1,4 @@
-"""What the runner knows of each engine."""
+"""The runner's view of each engine: running items, weight versions, pace, failures."""
 
 import bisect
 import collections
@@ -17,26 +17,31 @@
 )
 from bilberrydrum.fleet import model, policy
 
-# An engine that broke off a run gets no work for this long, in seconds, at first and at
-# most; doubled with each failure in a row. A crashed engine is back after 4 s and more.
+# An engine at which an attempt failed gets no work for this long, in seconds. The pause
+# doubles with each consecutive failure, from the first value up to the maximum: a
+# crashed engine takes 4 s or more to restart.
 FIRST_BACKOFF_SECONDS: Final = 0.5
 MAX_BACKOFF_SECONDS: Final = 4.0
-# Weight of one pause in an engine's pace: it follows a change within some 20 events,
-# which come in a tenth of a second when the engine is full.
+# Weight of one interval between events in the moving average that is the engine's pace.
+# The average follows a change within about 20 events, which a full engine sends in a
+# tenth of a second.
 PACE_WEIGHT: Final = 0.05
-# A pace that was not renewed for this long, in seconds, says nothing: the engine may
-# have recovered, and is tried again.
+# A pace that was not updated for this long, in seconds, is ignored: the engine may have
+# recovered and is tried again.
 PACE_SECONDS: Final = 3.0
-# An engine whose pace is this many times the median of the others is slow. Full and
-# empty engines differ by 1.5 (0.84 and 0.57 ms a step).
+# An engine is slow if its pace is more than this many times the median of the others.
+# Load alone explains a factor of 1.5: a decoding step takes 0.84 ms at a full engine
+# and 0.57 ms at an empty one.
 SLOW_FACTOR: Final = 2.2
-# An engine that was slow is tried with this many items at a time. With all its places
-# filled at each try, a dozen streams are broken off every few seconds (548 on a day
-# with a slow engine), and each prompt is read again.
+# An engine that was slow gets at most this many items until its pace is normal again.
+# If all its run slots were filled at each try, a dozen streams would be cancelled every
+# few seconds (548 on a day with a slow engine), and each prompt would be processed
+# again elsewhere.
 PROBE_SLOTS: Final = 1
-# A stream may pause for this many times its engine's pace.
+# A stream counts as stalled after a silence of this many times its engine's pace.
 STALL_PACES: Final = 8.0
-# One that turned an item away is passed over as long as a place needs to come free.
+# An engine that rejected an item as full gets no work for this long, in seconds: about
+# the time until one of its run slots becomes free.
 REJECTED_SECONDS: Final = 0.05
 
 
@@ -47,25 +52,27 @@
     upstream: model.FleetUpstream
     n_cache_tokens: int = 0
     n_running: int = 0
-    # Of these, items that may have ended the engines that ran them.
-    n_doubtful: int = 0
+    # How many of these are suspected of crashing engines.
+    n_suspected: int = 0
     n_tokens: int = 0
-    # Items that run there, by group.
+    # Number of running items by group.
     n_by_group: collections.Counter[tuple[str, str]] = attrs.field(
         factory=collections.Counter
     )
-    # Newest versions known, from announcements, reports and answers.
+    # Newest weight version known for each model, from announcements, reports and
+    # answers.
     versions_by_model: dict[str, int] = attrs.field(factory=dict)
     loading: weight_plan.Load | None = None
-    pause: backoff.Backoff = attrs.field(
+    retry_backoff: backoff.Backoff = attrs.field(
         factory=lambda: backoff.Backoff(FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
     )
-    # It turned an item away and is passed over until then.
+    # The engine rejected an item as full and gets no work until this time.
     full_until: float = float("-inf")
-    # Mean pause between two events of a stream, in seconds, lately; 0: not known.
+    # Moving average of the interval between two events of a stream, in seconds; 0 if it
+    # is not known.
     pace_seconds: float = 0.0
-    paced_at: float = float("-inf")
-    # It was slow when its pace was last known.
+    pace_updated_at: float = float("-inf")
+    # The engine was slow when its pace was last known.
     was_slow: bool = False
 
     @property
@@ -75,87 +82,88 @@
 
     @property
     def is_loading(self) -> bool:
-        """Whether an order to load is under way."""
+        """Whether an order to load weights is in progress."""
         return self.loading is not None
 
     def learn(self, versions_by_model: Mapping[str, int]) -> None:
-        """Take over versions that are newer than the known ones.
+        """Store the versions that are newer than the known ones.
 
-        Announcements and reports lag; within one incarnation versions only rise.
+        Announcements and reports may be outdated, so an older version is ignored:
+        within one incarnation versions only increase.
         """
         for name, version in versions_by_model.items():
             self.learn_version(name, version)
 
     def learn_version(self, name: str, version: int) -> None:
-        """Note that the engine serves `version` of a model, or a newer one."""
+        """Record that the engine serves `version` of a model, or a newer one."""
         known = self.versions_by_model.get(name)
         if known is None or version > known:
             self.versions_by_model[name] = version
 
     def correct_version(self, name: str, version: int) -> None:
-        """Note that the engine has just worked under `version` of a model.
+        """Record that the engine has just generated under `version` of a model.
 
-        Believed to serve a later one, it would be sent items that it cannot serve, as
-        fast as it answers, and would never be told to load. It is not believed to
-        serve an earlier one than it has announced.
+        The known version may be too high. The engine would then receive items that it
+        cannot serve, as fast as it answers them, and would never be ordered to load the
+        version. The known version does not go below the announced one.
         """
         announced = self.upstream.versions_by_model.get(name, version)
         self.versions_by_model[name] = max(version, announced)
 
-    def begin(self, run: lifecycle.ItemRun) -> None:
-        """Note that an item is sent."""
+    def add_run(self, run: lifecycle.ItemRun) -> None:
+        """Record that an attempt of an item is being sent to the engine."""
         self.n_running += 1
-        self.n_doubtful += run.is_doubtful
+        self.n_suspected += run.is_doubtful
         self.n_tokens += run.n_expected_tokens()
         self.n_by_group[run.group_key] += 1
 
-    def end(self, run: lifecycle.ItemRun) -> None:
-        """Note that an item's attempt has ended."""
+    def remove_run(self, run: lifecycle.ItemRun) -> None:
+        """Record that an attempt of an item at the engine has ended."""
         self.n_running -= 1
-        self.n_doubtful -= run.is_doubtful
+        self.n_suspected -= run.is_doubtful
         self.n_tokens -= run.n_expected_tokens()
         self.n_by_group[run.group_key] -= 1
         if not self.n_by_group[run.group_key]:
             del self.n_by_group[run.group_key]
 
-    def note_pause(self, seconds: float, now: float) -> None:
-        """Note the pause before an event of a stream."""
+    def record_pause(self, seconds: float, now: float) -> None:
+        """Record the interval before an event of a stream, in seconds."""
         if self.loading is not None:
-            # It says how long a load takes, not how fast the engine is.
+            # The interval includes the time of the load and says nothing of the pace.
             return
-        if now - self.paced_at > PACE_SECONDS:
+        if now - self.pace_updated_at > PACE_SECONDS:
             self.pace_seconds = seconds
-        self.paced_at = now
+        self.pace_updated_at = now
         self.pace_seconds += PACE_WEIGHT * (seconds - self.pace_seconds)
 
     def stall_seconds(self) -> float:
-        """Return the longest pause of a stream that is not taken for its end."""
+        """Return after how many seconds of silence a stream counts as stalled."""
         if self.loading is not None:
             return item_run.LOADING_STALL_SECONDS
         return max(item_run.STALL_SECONDS, STALL_PACES * self.pace_seconds)
 
-    def succeeded(self) -> None:
-        """Note a whole answer."""
-        self.pause.succeeded()
+    def record_success(self) -> None:
+        """Record a complete answer."""
+        self.retry_backoff.succeeded()
 
-    def failed(self, now: float) -> None:
-        """Note an answer that broke off, or none."""
-        # Runs that break together are one failure.
-        if not self.pause.remaining(now):
-            self.pause.failed(now)
+    def record_failure(self, now: float) -> None:
+        """Record that an answer broke off or did not come."""
+        # All attempts that break off in one crash count as one failure.
+        if not self.retry_backoff.remaining(now):
+            self.retry_backoff.failed(now)
 
-    def turned_away(self, now: float) -> None:
-        """Note that it had no place."""
+    def record_rejection(self, now: float) -> None:
+        """Record that the engine rejected an item because it was full."""
         self.full_until = now + REJECTED_SECONDS
 
-    def is_passed_over(self, now: float) -> bool:
-        """Tell whether it is sent nothing for a while."""
-        return now < self.pause.until or now < self.full_until
+    def is_excluded(self, now: float) -> bool:
+        """Return whether the engine gets no work at `now`."""
+        return now < self.retry_backoff.until or now < self.full_until
 
-    def place(
+    def capacity(
         self, shares: engine_shares.Shares, slow_ids: frozenset[str] = frozenset()
     ) -> scheduling.Place:
-        """Return what the choice for items needs."""
+        """Return what item scheduling needs to know of the engine."""
         loading = frozenset({self.loading.model} if self.loading else ())
         return scheduling.Place(
             self.upstream_id,
@@ -170,16 +178,16 @@
             self.n_cache_tokens,
             self.n_tokens,
             set(self.n_by_group),
-            self.n_doubtful > 0,
+            self.n_suspected > 0,
         )
 
 
 class Engines:
-    """All engines that generate."""
+    """All engines: the upstreams of services that have models."""
 
     def __init__(self) -> None:
         self.by_id: dict[str, Engine] = {}
-        # What was taken over last.
+        # The registry and policy that were applied last.
         self._upstreams: tuple[model.FleetUpstream, ...] = ()
         self._services_by_name: Mapping[str, policy.Service] = {}
 
@@ -188,19 +196,19 @@
         upstreams: tuple[model.FleetUpstream, ...],
         services_by_name: Mapping[str, policy.Service],
     ) -> None:
-        """Take over the registry and the policy if one of them has changed.
+        """Apply the registry and the policy if one of them has changed.
 
-        Called at each look; they change far less often. Each state of them is another
-        object, so identity tells.
+        Called in each scheduling pass, while changes are rare. Each change creates a
+        new object, so comparing identities is enough.
         """
         is_known = self._upstreams is upstreams
         if is_known and self._services_by_name is services_by_name:
             return
         self._upstreams = upstreams
         self._services_by_name = services_by_name
-        self._take(upstreams, services_by_name)
+        self._apply(upstreams, services_by_name)
 
-    def _take(
+    def _apply(
         self,
         upstreams: tuple[model.FleetUpstream, ...],
         services_by_name: Mapping[str, policy.Service],
@@ -224,46 +232,48 @@
             del self.by_id[upstream_id]
 
     def usable(self, now: float) -> list[Engine]:
-        """Return the engines that may be sent work now."""
+        """Return the engines that may get work now."""
         return [
             each
             for each in self.by_id.values()
-            if not each.upstream.is_leaving and not each.is_passed_over(now)
+            if not each.upstream.is_leaving and not each.is_excluded(now)
         ]
 
-    def lasting(self, now: float) -> list[Engine]:
-        """Return the engines that a model may be given to.
+    def assignable(self, now: float) -> list[Engine]:
+        """Return the engines that models may be assigned to.
 
-        One that failed once may be back at once; a model that moved would have to be
-        loaded elsewhere.
+        An engine that has failed just once is included even while it gets no work: it
+        may recover at once, whereas assigning the model to another engine costs a load
+        of weights there.
         """
         return [
             each
             for each in self.by_id.values()
             if not each.upstream.is_leaving
-            and (now >= each.pause.until or each.pause.n_failures < 2)
+            and (now >= each.retry_backoff.until or each.retry_backoff.n_failures < 2)
         ]
 
     def n_loading(self) -> int:
-        """Return how many engines load weights."""
+        """Return how many engines are loading weights."""
         return sum(1 for each in self.by_id.values() if each.loading is not None)
 
     def slow_ids(self, now: float) -> frozenset[str]:
-        """Return the engines that are much slower than the others now.
+        """Return the ids of the engines that are much slower than the others now.
 
-        Each engine remembers the verdict for when its pace is not known any more.
+        Also sets `Engine.was_slow` of each engine with a known pace. It keeps its value
+        once the pace is outdated, so the engine is then tried with `PROBE_SLOTS` items.
         """
         paces_by_id = {
             engine_id: each.pace_seconds
             for engine_id, each in self.by_id.items()
-            if each.pace_seconds and now - each.paced_at <= PACE_SECONDS
+            if each.pace_seconds and now - each.pace_updated_at <= PACE_SECONDS
         }
         slow = set()
         paces = sorted(paces_by_id.values())
-        least_slow = SLOW_FACTOR * _least_median_of_others(paces)
+        min_slow_pace = SLOW_FACTOR * _smallest_median_of_others(paces)
         for engine_id, pace in paces_by_id.items():
             engine = self.by_id[engine_id]
-            engine.was_slow = pace > least_slow and (
+            engine.was_slow = pace > min_slow_pace and (
                 pace > SLOW_FACTOR * _median_of_others(paces, pace)
             )
             if engine.was_slow:
@@ -271,7 +281,7 @@
         return frozenset(slow)
 
     def versions_of(self, model_name: str) -> set[int]:
-        """Return the versions of a model that some engine has."""
+        """Return all versions of a model that engines serve."""
         return {
             each.versions_by_model[model_name]
             for each in self.by_id.values()
@@ -279,25 +289,25 @@
         }
 
     def models(self) -> list[str]:
-        """Return all models that some engine serves."""
+        """Return all models that engines serve, sorted."""
         found = {
             name for each in self.by_id.values() for name in each.versions_by_model
         }
         return sorted(found)
 
 
-def _least_median_of_others(paces: Sequence[float]) -> float:
-    """Return the least of all that `_median_of_others` returns for sorted `paces`."""
+def _smallest_median_of_others(paces: Sequence[float]) -> float:
+    """Return the smallest `_median_of_others` of any member of sorted `paces`."""
     if len(paces) < 2:
         return float("inf")
     return _median_of_others(paces, paces[-1])
 
 
 def _median_of_others(paces: Sequence[float], own: float) -> float:
-    """Return the median of sorted `paces` without one that is `own`.
+    """Return the median of sorted `paces` without one member equal to `own`.
 
-    Asked for each engine that may be slow, so no list of the others is made: among
-    thousands, that would hold all other tasks up.
+    This runs for each engine that may be slow, so it doesn't build a list of the
+    others: with thousands of engines that would block all other tasks of the process.
     """
     position = bisect.bisect_left(paces, own)
 
--- a/bilberrydrum/batches/item_run.py
+++ b/bilberrydrum/batches/item_run.py
@@ -1,4 +1,4 @@
-"""One attempt to run an item at one engine, and what it adds to the item's text."""
+"""Run one attempt of an item at one engine and append its events to the item's text."""
 
 import enum
 from collections.abc import Callable, Iterator
@@ -11,17 +11,19 @@
 from bilberrydrum.fleet import model as fleet_model
 from bilberrydrum.requests import attempts, examination, outgoing_requests
 
-# An engine that sends no answer's head for this long, in seconds, hangs: items are sent
-# only to free places, where the first token takes some 20 ms.
-FIRST_EVENT_SECONDS: Final = 1.5
-# A stream that pauses for this long, in seconds, is broken off and goes on at another
-# engine: six times the pause of an engine that runs four times slower than usual. What
-# a false alarm costs is one reading of the prompt.
+# An engine that doesn't send the head of its answer within this time, in seconds, is
+# treated as hanging. Items are sent only to engines with a free run slot, where the
+# first token takes about 20 ms.
+HEAD_TIMEOUT_SECONDS: Final = 1.5
+# A stream that is silent for this long, in seconds, is aborted and resumed at another
+# engine. This is six times the interval between events of an engine that runs four
+# times slower than usual. A false alarm costs one processing of the prompt.
 STALL_SECONDS: Final = 1.0
-# The same while the engine loads weights, which takes a second and more.
+# The same while the engine loads weights, which takes a second or more.
 LOADING_STALL_SECONDS: Final = 4.0
-# Answers without an event, one after the other, that end a text.
-_N_EMPTY_ANSWERS: Final = 2
+# Number of consecutive complete answers without an event after which a resumed text
+# counts as complete.
+_MIN_EMPTY_ANSWERS: Final = 2
 _OK: Final = 200
 _IMPOSSIBLE: Final = 422
 
@@ -30,69 +32,73 @@
     """How an attempt ended."""
 
     COMPLETED = "completed"
-    # The engine says that the item can never be done.
+    # The engine answered that the item can never be generated.
     IMPOSSIBLE = "impossible"
-    # The engine ran it and failed.
+    # The engine answered with an error after it had started to run the item.
     FAILED = "failed"
-    # It did not run.
+    # The item did not run.
     NOT_RUN = "not-run"
-    # There is no connection to the engine.
+    # The connection to the engine could not be opened.
     UNREACHABLE = "unreachable"
-    # The answer broke off, or was damaged; what was read stands.
+    # The answer broke off or was damaged. The events read before are kept, unless they
+    # contradict the text.
     BROKEN = "broken"
-    # The engine says that the text was whole before; it is asked for once more.
+    # The engine answered that there is nothing left to generate. One more such answer
+    # is required before the text counts as complete.
     UNCONFIRMED = "unconfirmed"
-    # It was broken off on purpose; what was read stands.
-    BROKEN_OFF = "broken-off"
-    # The engine's weights are not those that the batch asks for.
+    # This process cancelled the attempt. The events read before are kept.
+    CANCELLED = "broken-off"
+    # The engine's weight version is not one that the batch allows.
     WRONG_VERSION = "wrong-version"
 
 
 class Framing(enum.StrEnum):
-    """How an answer tells its end."""
+    """How the end of an answer is marked."""
 
-    # There is no answer.
+    # There was no answer.
     NONE = ""
     LENGTH = "length"
     CHUNKS = "chunks"
-    # Only by the closing of the connection, as it is closed when an engine ends.
+    # Only by the close of the connection, which also happens when an engine crashes.
     CLOSE = "close"
 
 
 @attrs.define
 class Reading:
-    """What an attempt asked for and what it has read, for its log line."""
+    """What an attempt requested and which events it read, for its log line."""
 
-    # Event that the engine was asked to go on after; None: it was to begin.
+    # Number of the event after which the engine was asked to resume; None if it was
+    # asked to start from the beginning.
     asked_after: int | None
-    # Numbers of the events that came; None: none came.
+    # Numbers of the first and the last event read; None if none was read.
     first_number: int | None = None
     last_number: int | None = None
     framing: Framing = Framing.NONE
 
-    def note(self, event: event_stream.Event) -> None:
-        """Note an event that came."""
+    def record(self, event: event_stream.Event) -> None:
+        """Record an event that was read."""
         if self.first_number is None:
             self.first_number = event.number
         self.last_number = event.number
 
 
 @attrs.frozen
-class Ended:
-    """The end of an attempt."""
+class AttemptResult:
+    """How an attempt ended."""
 
     outcome: Outcome
     detail: str = ""
-    # Weight version of the last event that this attempt read; None: it read none.
+    # Weight version of the last event that this attempt read; None if it read none.
     version: int | None = None
-    # The connection ended in the middle, as it does when the engine crashes.
+    # The connection broke before the end of the answer, as it does when the engine
+    # crashes.
     is_cut_off: bool = False
     reading: Reading = attrs.field(factory=lambda: Reading(None), eq=False)
 
 
 @attrs.frozen
 class Run:
-    """What an attempt is made from."""
+    """The inputs of one attempt."""
 
     item: model.Item
     host: str
@@ -100,16 +106,18 @@
     bounds: texts.Bounds
     # When the item is given up, in seconds of `clock.now`.
     deadline: float
+    # Returns why the request must not be sent; called right before the first byte.
     find_refusal: Callable[[], reasons.Reason | None]
-    # Longest pause of a healthy engine now, in seconds.
+    # Returns after how many seconds of silence the stream counts as stalled.
     stall_seconds: Callable[[], float] = lambda: STALL_SECONDS
-    # Told the pause before each event but the first.
+    # Called with the interval before each event except the first, in seconds.
     on_event: Callable[[float], None] = lambda seconds: None
-    # As in `model.Batch`.
+    # The client account, as in `model.Batch`.
     account: str | None = None
-    # Rank at the engine, 0 first; None: the engine's own default.
+    # Priority at the engine, where 0 goes first; None for the engine's own default.
     priority: int | None = None
-    # Also there if the attempt is broken off, and so has no `Ended`.
+    # Kept here so that it is available if the attempt is cancelled and therefore
+    # returns no `AttemptResult`.
     reading: Reading = attrs.field(init=False, eq=False)
 
     @reading.default
@@ -123,8 +131,8 @@
     engine: fleet_model.FleetUpstream,
     run: Run,
     remaining_seconds: float,
-) -> Ended:
-    """Send the item to `engine` and add what comes back to the run's text."""
+) -> AttemptResult:
+    """Send the item to `engine` and append the events of the answer to the text."""
     ended = _send(means, protocol, engine, run, remaining_seconds, run.reading)
     return attrs.evolve(ended, reading=run.reading)
 
@@ -136,7 +144,7 @@
     run: Run,
     remaining_seconds: float,
     reading: Reading,
-) -> Ended:
+) -> AttemptResult:
     attempt = upstream_protocol.Attempt(
         run.item.item_id,
         engine.announced_id,
@@ -159,7 +167,7 @@
         may_repeat=True,
     )
     try:
-        first = max(FIRST_EVENT_SECONDS, run.stall_seconds())
+        first = max(HEAD_TIMEOUT_SECONDS, run.stall_seconds())
         with attempts.waiting(means, outgoing, first):
             connection, answer = attempts.open_answer(
                 means.pool, engine.address, outgoing
@@ -171,21 +179,21 @@
 
 
 def _framing_of(answer: Any) -> Framing:
-    """Return how an answer, of which nothing was read yet, tells its end."""
+    """Return how the end of an answer is marked; nothing may have been read of it."""
     if answer.headers.get("Transfer-Encoding", "").lower() == "chunked":
         return Framing.CHUNKS
-    # A length that is no number is none.
+    # An invalid Content-Length counts as missing.
     return Framing.CLOSE if answer.length_remaining is None else Framing.LENGTH
 
 
-def _without_answer(error: attempts.AttemptError) -> Ended:
+def _without_answer(error: attempts.AttemptError) -> AttemptResult:
     is_cut_off = error.may_have_run and error.reason in examination.BROKEN
     detail = f"{error.reason.value} {error.detail}".strip()
-    return Ended(_outcome_of(error), detail, is_cut_off=is_cut_off)
+    return AttemptResult(_outcome_of(error), detail, is_cut_off=is_cut_off)
 
 
 def _outcome_of(error: attempts.AttemptError) -> Outcome:
-    """Return what an attempt without an answer was."""
+    """Return the outcome of an attempt that got no complete answer."""
     if error.may_have_run:
         return Outcome.BROKEN
     if error.is_refusal:
@@ -202,20 +210,21 @@
     connection: Any,
     answer: Any,
     reading: Reading,
-) -> Ended:
-    is_whole = False
+) -> AttemptResult:
+    is_complete = False
     try:
         ended = _consume(means, protocol, run, outgoing, answer, reading)
-        is_whole = ended.outcome not in (Outcome.BROKEN, Outcome.WRONG_VERSION)
+        is_complete = ended.outcome not in (Outcome.BROKEN, Outcome.WRONG_VERSION)
         return ended
     except attempts.AttemptError as error:
         return _without_answer(error)
     except event_stream.EventError as error:
         run.text.clear()
-        return Ended(Outcome.BROKEN, str(error))
+        return AttemptResult(Outcome.BROKEN, str(error))
     finally:
-        # A connection that is closed before its end makes the engine drop the run.
-        if is_whole:
+        # Closing the connection before the end of the answer makes the engine cancel
+        # the run.
+        if is_complete:
             is_named = protocol.request_id_header in answer.headers
             attempts.settle(means.pool, engine.address, connection, answer, is_named)
         else:
@@ -229,92 +238,100 @@
     outgoing: outgoing_requests.Outgoing,
     answer: Any,
     reading: Reading,
-) -> Ended:
+) -> AttemptResult:
     head = protocol.read_head(answer.headers)
     if answer.status != _OK:
-        return _refused(means, outgoing, answer, head)
+        return _result_of_error(means, outgoing, answer, head)
     if not head.is_genuine:
-        # A damaged head with nothing after it looks like an engine that has nothing to
-        # add: half a text would be listed as whole. An engine marks each such answer.
-        return Ended(Outcome.BROKEN, "an answer without the engine's mark")
+        # A damaged head with nothing after it looks like the answer of an engine that
+        # has nothing left to generate, so an incomplete text would be listed as
+        # completed. Engines sign each of their answers.
+        return AttemptResult(Outcome.BROKEN, "answer without the engine's signature")
     version = head.version
-    # Not the text's own last event: it may have changed since the request was made, and
-    # would take a run that was not asked to go on after it.
+    # The reader continues after the event named in the request, not after the text's
+    # current last event. The text may have changed since, and would then accept events
+    # of a run that was not asked to resume after that event.
     reader = event_stream.EventReader(protocol.version_field, reading.asked_after or 0)
     last_at = None
     last_version = None
     for part in _parts(means, outgoing, answer, run.stall_seconds):
         for event in reader.feed(part):
-            reading.note(event)
+            reading.record(event)
             now = clock.now()
             if last_at is not None:
                 run.on_event(now - last_at)
             last_at = now
             version = event.version if event.version is not None else version
             if version is None:
-                return Ended(Outcome.BROKEN, "an event names no weight version")
+                return AttemptResult(Outcome.BROKEN, "event without a weight version")
             last_version = version
             if not run.bounds.allow(version, run.text):
                 if run.bounds.is_single:
-                    # All engines may have left the text's version behind.
+                    # A text of a single version can be resumed only under it, and all
+                    # engines may already serve a newer one.
                     run.text.clear()
-                detail = f"made under version {version}"
-                return Ended(Outcome.WRONG_VERSION, detail, version)
+                detail = f"event generated under weight version {version}"
+                return AttemptResult(Outcome.WRONG_VERSION, detail, version)
             run.text.add(event, version)
-    return _at_the_end(run.text, reader, reading, last_version)
+    return _result_at_end(run.text, reader, reading, last_version)
 
 
-def _at_the_end(
+def _result_at_end(
     text: texts.Text,
     reader: event_stream.EventReader,
     reading: Reading,
     version: int | None,
-) -> Ended:
-    """Return how an attempt ended whose answer ended without an error."""
+) -> AttemptResult:
+    """Return the result of an attempt whose answer ended without an error."""
     if not reader.is_between_events() or not reader.last_number:
-        return Ended(Outcome.BROKEN, "ended in the middle of an event")
+        return AttemptResult(Outcome.BROKEN, "answer ended within or before an event")
     if text.last_number != reader.last_number:
-        # Another run has changed the text: this answer's end is not its end.
+        # Another run has changed the text, so the end of this answer is not the end of
+        # the text.
         detail = (
-            f"event {reader.last_number} ended a text that is at {text.last_number}"
+            f"answer ended at event {reader.last_number}, but the text is at event "
+            f"{text.last_number}"
         )
         raise event_stream.EventError(detail)
     if reading.first_number is None and reading.framing is Framing.CLOSE:
-        # An engine that ends before its first event looks the same, and half a text
-        # would be listed as whole. Begun anew, the item can't meet this once more.
+        # An engine that crashes before its first event looks the same, so an incomplete
+        # text would be listed as completed. The text is generated again from the start:
+        # an answer to a request from the start is never taken for complete if it has no
+        # event.
         text.clear()
-        return Ended(Outcome.BROKEN, "closed without an event")
+        return AttemptResult(Outcome.BROKEN, "connection closed before the first event")
     if reading.first_number is None:
-        # A text whose last event was read before its end was is whole: resumed after
-        # that event, the engine has nothing to add. One that fails at its beginning may
-        # say the same, and half a text would be listed as whole; so it takes two such
-        # answers in a row.
+        # The text may have been complete already: an earlier attempt read its last
+        # event, but not the end of the answer, so an engine that resumes after that
+        # event has nothing to add. But an engine that fails right at the start may give
+        # the same answer, and an incomplete text would be listed as completed. So two
+        # such answers in a row are required.
         text.n_empty_answers += 1
-        if text.n_empty_answers < _N_EMPTY_ANSWERS:
-            return Ended(Outcome.UNCONFIRMED, "no event")
-    return Ended(Outcome.COMPLETED, version=version)
+        if text.n_empty_answers < _MIN_EMPTY_ANSWERS:
+            return AttemptResult(Outcome.UNCONFIRMED, "answer without an event")
+    return AttemptResult(Outcome.COMPLETED, version=version)
 
 
-def _refused(
+def _result_of_error(
     means: attempts.Means,
     outgoing: outgoing_requests.Outgoing,
     answer: Any,
     head: upstream_protocol.AnswerHead,
-) -> Ended:
-    # Read to its end, so that the connection can be used again.
+) -> AttemptResult:
+    # Read the body to its end, so that the connection can be reused.
     for _ in _parts(means, outgoing, answer, lambda: STALL_SECONDS):
         pass
     detail = f"status {answer.status}"
     is_named = outgoing.id_header in answer.headers
     if answer.status == _IMPOSSIBLE and is_named:
-        return Ended(Outcome.IMPOSSIBLE, detail)
+        return AttemptResult(Outcome.IMPOSSIBLE, detail)
     if head.was_not_run:
-        return Ended(Outcome.NOT_RUN, detail)
+        return AttemptResult(Outcome.NOT_RUN, detail)
     if not is_named:
-        # A head that is cut off, perhaps that of an extra answer to another request:
-        # its status would end the item, or count against it.
-        return Ended(Outcome.BROKEN, f"{detail} that names no request")
-    return Ended(Outcome.FAILED, detail)
+        # The head may be truncated, and may belong to a surplus answer to another
+        # request. Its status must neither end this item nor count as its failure.
+        return AttemptResult(Outcome.BROKEN, f"{detail} without a request id")
+    return AttemptResult(Outcome.FAILED, detail)
 
 
 def _parts(
--- a/bilberrydrum/batches/item_sender.py
+++ b/bilberrydrum/batches/item_sender.py
@@ -1,4 +1,4 @@
-"""Send items to engines, and decide what becomes of them when an attempt ends."""
+"""Send items to engines, and handle the result of each attempt."""
 
 import functools
 from collections.abc import Callable
@@ -22,12 +22,12 @@
 from bilberrydrum.relay import crash_watch
 from bilberrydrum.requests import attempts, fingerprints
 
-# Detail of an attempt that was broken off before its first turn.
-_NOT_BEGUN: Final = "not-begun"
+# Detail of an attempt that was cancelled before its task was scheduled.
+_NOT_STARTED: Final = "not-begun"
 
 
 class ItemSender:
-    """The tasks of the items that run."""
+    """Runs one task for each item that is being generated."""
 
     def __init__(
         self,
@@ -45,42 +45,44 @@
         self._hooks = given_hooks
         self._pace = pace
         self._crashes = crashes
-        # Called when a place at an engine has come free.
+        # Called when a run slot at an engine has become free.
         self._wake = wake
         self._tasks = item_tasks.ItemTasks()
 
     def standing(
         self, opened: work.OpenBatch, run: lifecycle.ItemRun
     ) -> quarantine.Standing:
-        """Return whether an item is held to end engines."""
+        """Return whether an item is suspected of crashing engines or quarantined."""
         return self._crashes.standing(lambda: self._fingerprint(opened, run))
 
     def send(
         self, opened: work.OpenBatch, run: lifecycle.ItemRun, engine: engines.Engine
     ) -> None:
-        """Start an attempt at `engine`."""
+        """Start an attempt of an item at `engine`."""
         run.is_doubtful = bool(self.standing(opened, run))
         run.begin_generating(engine.upstream_id)
-        engine.begin(run)
+        engine.add_run(run)
         key = (opened.batch.batch_id, run.item.item_id)
         run_item = functools.partial(self._run_item, opened, run, engine, key)
-        not_begun = functools.partial(self._not_begun, opened, run, engine, key)
-        self._tasks.start(key, run_item, not_begun)
+        on_cancel = functools.partial(
+            self._cancelled_before_start, opened, run, engine, key
+        )
+        self._tasks.start(key, run_item, on_cancel)
 
-    def take_away(self, key: item_tasks.Key) -> None:
-        """Break off an item's attempt; what it has read stays with the item."""
-        self._tasks.cancel(key, item_tasks.BreakOff.MOVED)
+    def cancel_for_move(self, key: item_tasks.Key) -> None:
+        """Cancel an item's attempt so that it can resume elsewhere; keep its text."""
+        self._tasks.cancel(key, item_tasks.CancelReason.MOVED)
 
     def cancel_batch(self, batch_id: str) -> None:
-        """Break off all attempts of a batch."""
+        """Cancel all attempts of a batch."""
         self._tasks.cancel_batch(batch_id)
 
     def stop(self) -> None:
-        """Break off all attempts."""
+        """Cancel all attempts."""
         self._tasks.cancel_all()
 
     def give_up(self, opened: work.OpenBatch, run: lifecycle.ItemRun, why: str) -> None:
-        """End an item without a text."""
+        """Finish an item as terminated, without a text."""
         result = model.Result(run.item.item_id, model.ItemState.TERMINATED)
         self._finish(opened, run, result, why)
 
@@ -96,7 +98,7 @@
         try:
             ended = self._attempt(opened, run, engine)
         finally:
-            self._ended(run, engine, key)
+            self._release(run, engine, key)
         seconds = clock.now() - began
         histogram = counters.ITEM_ATTEMPT_SECONDS.labels(ended.outcome.value)
         histogram.observe(seconds)
@@ -104,20 +106,20 @@
         if ended.outcome is item_run.Outcome.COMPLETED and not n_before:
             n_expected = run.n_expected_output_tokens()
             self._pace.note(n_expected, len(run.text.parts), seconds)
-        self._settle(opened, run, engine, ended)
-        self._tell_crashes(opened, run, engine, ended, seconds)
+        self._apply_result(opened, run, engine, ended)
+        self._report_crash(opened, run, engine, ended, seconds)
 
-    def _tell_crashes(
+    def _report_crash(
         self,
         opened: work.OpenBatch,
         run: lifecycle.ItemRun,
         engine: engines.Engine,
-        ended: item_run.Ended,
+        ended: item_run.AttemptResult,
         seconds: float,
     ) -> None:
-        """Hold a crash against the item, or clear it."""
-        is_whole = ended.outcome is item_run.Outcome.COMPLETED
-        if is_whole or run.has_survived():
+        """Report a crash during the attempt, or clear the item of earlier ones."""
+        is_complete = ended.outcome is item_run.Outcome.COMPLETED
+        if is_complete or run.has_survived():
             self._crashes.was_answered(lambda: self._fingerprint(opened, run))
         if ended.is_cut_off:
             broken = crash_watch.BrokenRun(
@@ -131,7 +133,7 @@
             self._crashes.run_broke(broken)
 
     def _fingerprint(self, opened: work.OpenBatch, run: lifecycle.ItemRun) -> str:
-        """Return what is the same whenever the item's work is asked for."""
+        """Return a digest that is the same each time the same work is requested."""
         item = run.item
         if not run.fingerprint:
             identity = self._protocol.identity_of(item.headers)
@@ -145,28 +147,28 @@
             )
         return run.fingerprint
 
-    def _not_begun(
+    def _cancelled_before_start(
         self,
         opened: work.OpenBatch,
         run: lifecycle.ItemRun,
         engine: engines.Engine,
         key: item_tasks.Key,
     ) -> None:
-        ended = item_run.Ended(item_run.Outcome.BROKEN_OFF, _NOT_BEGUN)
+        ended = item_run.AttemptResult(item_run.Outcome.CANCELLED, _NOT_STARTED)
         _log_attempt(opened, run, engine, ended, 0.0)
-        self._ended(run, engine, key)
+        self._release(run, engine, key)
 
-    def _ended(
+    def _release(
         self, run: lifecycle.ItemRun, engine: engines.Engine, key: item_tasks.Key
     ) -> None:
-        engine.end(run)
+        engine.remove_run(run)
         run.end_generating()
-        self._tasks.ended(key)
+        self._tasks.remove(key)
         self._wake()
 
     def _attempt(
         self, opened: work.OpenBatch, run: lifecycle.ItemRun, engine: engines.Engine
-    ) -> item_run.Ended:
+    ) -> item_run.AttemptResult:
         route = opened.route(self._view.routes)
         deadline = opened.give_up_at(route)
         bounds = opened.bounds(route)
@@ -180,7 +182,7 @@
             deadline,
             lambda: self._find_refusal(opened, run, engine),
             engine.stall_seconds,
-            functools.partial(_note_pause, run, engine),
+            functools.partial(_record_pause, run, engine),
             account=opened.batch.account,
             priority=self._rank(opened, route),
         )
@@ -189,10 +191,10 @@
             return item_run.carry_out(
                 self._means, self._protocol, engine.upstream, prepared, deadline - began
             )
-        except item_tasks.BrokenOff as broken_off:
-            why = broken_off.why.value
-            ended = item_run.Ended(
-                item_run.Outcome.BROKEN_OFF, why, reading=prepared.reading
+        except item_tasks.Cancelled as cancelled:
+            why = cancelled.why.value
+            ended = item_run.AttemptResult(
+                item_run.Outcome.CANCELLED, why, reading=prepared.reading
             )
             _log_attempt(opened, run, engine, ended, clock.now() - began)
             raise
@@ -206,32 +208,33 @@
     def _find_refusal(
         self, opened: work.OpenBatch, run: lifecycle.ItemRun, engine: engines.Engine
     ) -> reasons.Reason | None:
-        """Return why nothing must be sent, looked up right before the first byte."""
+        """Return why the item must not be sent; called right before the first byte."""
         if not self._hooks.may_send() or opened.is_ended:
             return reasons.Reason.ATTEMPT_SUPERSEDED
         if self.standing(opened, run) is quarantine.Standing.QUARANTINED:
             return reasons.Reason.REQUEST_QUARANTINED
         return self._view.registry.find_refusal(engine.upstream_id)
 
-    def _settle(
+    def _apply_result(
         self,
         opened: work.OpenBatch,
         run: lifecycle.ItemRun,
         engine: engines.Engine,
-        ended: item_run.Ended,
+        ended: item_run.AttemptResult,
     ) -> None:
         now = clock.now()
         outcome = ended.outcome
         if outcome is item_run.Outcome.COMPLETED:
-            engine.succeeded()
+            engine.record_success()
             if ended.version is not None:
-                # Not the text's versions: others may have made a part of it.
+                # The version of this attempt's last event, not the text's versions:
+                # other engines may have generated parts of the text.
                 engine.learn_version(opened.batch.model, ended.version)
             self._completed(opened, run)
             return
         if outcome is item_run.Outcome.UNCONFIRMED:
-            # It waits, and is sent again at once.
-            engine.succeeded()
+            # The item is waiting again and is resent at once.
+            engine.record_success()
             return
         counters.retried(reasons.Reason.UPSTREAM_ERROR)
         if outcome is item_run.Outcome.IMPOSSIBLE:
@@ -241,13 +244,13 @@
         if outcome is item_run.Outcome.FAILED:
             self._failed(opened, run, ended)
         elif outcome is item_run.Outcome.NOT_RUN:
-            engine.turned_away(now)
+            engine.record_rejection(now)
             run.not_before = now + work.REJECTED_PAUSE_SECONDS
         elif outcome is item_run.Outcome.WRONG_VERSION:
             if ended.version is not None:
                 engine.correct_version(opened.batch.model, ended.version)
         else:
-            engine.failed(now)
+            engine.record_failure(now)
 
     def _completed(self, opened: work.OpenBatch, run: lifecycle.ItemRun) -> None:
         result = run.text.result(run.item.item_id)
@@ -258,9 +261,12 @@
         self._hooks.keep_text(opened.batch.batch_id, result)
 
     def _failed(
-        self, opened: work.OpenBatch, run: lifecycle.ItemRun, ended: item_run.Ended
+        self,
+        opened: work.OpenBatch,
+        run: lifecycle.ItemRun,
+        ended: item_run.AttemptResult,
     ) -> None:
-        """Count a failure of the engine's own; the route allows so many."""
+        """Count an error answer; give the item up at the route's `max_attempts`."""
         run.n_failures += 1
         route = opened.route(self._view.routes)
         if route is not None and run.n_failures >= route.max_attempts:
@@ -290,7 +296,7 @@
     opened: work.OpenBatch,
     run: lifecycle.ItemRun,
     engine: engines.Engine,
-    ended: item_run.Ended,
+    ended: item_run.AttemptResult,
     seconds: float,
 ) -> None:
     eliot.log_message(
@@ -310,6 +316,8 @@
     )
 
 
-def _note_pause(run: lifecycle.ItemRun, engine: engines.Engine, seconds: float) -> None:
+def _record_pause(
+    run: lifecycle.ItemRun, engine: engines.Engine, seconds: float
+) -> None:
     run.note_pause(seconds)
-    engine.note_pause(seconds, clock.now())
+    engine.record_pause(seconds, clock.now())
--- a/bilberrydrum/batches/item_tasks.py
+++ b/bilberrydrum/batches/item_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that each work on one item, to be broken off by item or by batch."""
+"""Tasks that each work on one item and can be cancelled by item or by batch."""
 
 import enum
 from collections.abc import Callable
@@ -8,24 +8,24 @@
 import eventlet
 import greenlet
 
-# A batch and an item of it.
+# Ids of a batch and of one of its items.
 Key = tuple[str, str]
 
 
-class BreakOff(enum.Enum):
-    """Why work on an item is broken off."""
+class CancelReason(enum.Enum):
+    """Why the task of an item is cancelled."""
 
     BATCH_ENDED = "batch-ended"
-    # The item goes on elsewhere.
+    # The item continues at another engine.
     MOVED = "moved"
-    # Another process runs the items, or another runner here.
+    # The items are taken over by another process, or by another runner in this one.
     STOPS_LEADING = "stops-leading"
 
 
-class BrokenOff(greenlet.GreenletExit):  # type: ignore[misc]
-    """Raised in the midst of work that is broken off; it must not be held up."""
+class Cancelled(greenlet.GreenletExit):  # type: ignore[misc]
+    """Raised within a task that is cancelled; it must not be suppressed."""
 
-    def __init__(self, why: BreakOff) -> None:
+    def __init__(self, why: CancelReason) -> None:
         super().__init__(why.value)
         self.why = why
 
@@ -33,12 +33,12 @@
 @attrs.define
 class _Entry:
     on_end: Callable[[], None]
-    has_begun: bool = False
+    has_started: bool = False
     task: Any = None
 
 
 class ItemTasks:
-    """The tasks that are under way, one for an item."""
+    """The tasks that are running, at most one for each item."""
 
     def __init__(self) -> None:
         self._entries_by_key: dict[Key, _Entry] = {}
@@ -46,11 +46,12 @@
     def start(
         self, key: Key, work: Callable[[], None], on_end: Callable[[], None]
     ) -> None:
-        """Begin to work on an item.
+        """Start a task for an item.
 
-        `work` calls `ended` and `on_end` itself. A task that is broken off before its
-        first turn runs none of `work`, so `on_end` is called for it: the place that it
-        was given would stay taken.
+        `work` has to call `remove` itself and do what `on_end` does when it ends. A
+        task that is cancelled before it was scheduled runs none of `work`, so `cancel`
+        calls `on_end` for it: otherwise the run slot assigned to the item would never
+        be released.
         """
         entry = _Entry(on_end)
         self._entries_by_key[key] = entry
@@ -58,30 +59,31 @@
 
     @staticmethod
     def _run(entry: _Entry, work: Callable[[], None]) -> None:
-        entry.has_begun = True
+        entry.has_started = True
         work()
 
-    def ended(self, key: Key) -> None:
-        """Note that the work on an item has ended."""
+    def remove(self, key: Key) -> None:
+        """Remove an item's task after it has ended."""
         self._entries_by_key.pop(key, None)
 
-    def cancel(self, key: Key, why: BreakOff) -> None:
-        """Break off the work on an item; none if it has just ended."""
-        # Breaking off other work lets this one run, and end: its entry may be gone. An
-        # error here would stop the replica, which breaks off the runs of ended batches.
+    def cancel(self, key: Key, why: CancelReason) -> None:
+        """Cancel the task of an item; do nothing if it has just ended."""
+        # The entry may be gone: cancelling another task lets this one run, and it may
+        # end. An error here would stop the replica, because applying the end of a batch
+        # cancels its tasks.
         entry = self._entries_by_key.pop(key, None)
         if entry is None:
             return
-        entry.task.kill(BrokenOff, BrokenOff(why), None)
-        if not entry.has_begun:
+        entry.task.kill(Cancelled, Cancelled(why), None)
+        if not entry.has_started:
             entry.on_end()
 
     def cancel_batch(self, batch_id: str) -> None:
-        """Break off the work on all items of a batch."""
+        """Cancel the tasks of all items of a batch."""
         for key in [each for each in self._entries_by_key if each[0] == batch_id]:
-            self.cancel(key, BreakOff.BATCH_ENDED)
+            self.cancel(key, CancelReason.BATCH_ENDED)
 
     def cancel_all(self) -> None:
-        """Break off all work."""
+        """Cancel all tasks."""
         for key in list(self._entries_by_key):
-            self.cancel(key, BreakOff.STOPS_LEADING)
+            self.cancel(key, CancelReason.STOPS_LEADING)
--- a/bilberrydrum/batches/load_limit.py
+++ b/bilberrydrum/batches/load_limit.py
@@ -1,73 +1,84 @@
-"""How many engines may load weights at a time.
+"""Limit how many engines load weights at a time.
 
-The source of the weights has a bound of its own that nobody names: beyond it every load
-takes longer, and an engine that loads starts no new request. Too few at a time is
-worse: a version that reaches the last engines only after the next one was named leaves
-engines that a step does not accept any more. With two at a time, 24 engines took 13 s
-for a version while the trainers named one every 4 s, and two of three trainers got half
-of their groups.
+The source of the weights has a capacity that is not configured anywhere. Beyond it
+every load takes longer, and an engine starts no new request while it loads. Too low a
+limit is worse: if a version reaches the last engines only after the next one was
+announced, steps no longer accept these engines. With two loads at a time, 24 engines
+took 13 s for a version while the trainers announced one every 4 s, and two of three
+trainers got half of their groups.
 
-So the number starts as a share of the engines, but at few, and follows the time that
-loads take: one more after each load at the bound that was as quick as the quickest, so
-that it doubles from one round of loads to the next, and a quarter less after one that
-was much slower. Were it to start at many, all loads would be slow and none would tell.
+So the limit starts as a share of the engines, capped at a small number, and adapts to
+the duration of the loads. It grows by one after each load that was about as fast as the
+fastest one while more than half of the limit was in use, so it doubles from one round
+of loads to the next, and shrinks by a quarter after a load that was much slower. A high
+initial limit would make all loads slow, and there would be no fast load to compare them
+with.
 """
 
 from typing import Final
 
-# Fewest at a time: one that hangs must not hold up all the others.
+# Lower bound of the limit. With two, a load that hangs does not block all others.
 MIN_LOADING: Final = 2
-# Share of the engines that may load at first. Small deployments bear 2 of 5, larger
-# ones 10 of 24, before loads slow one another down.
+# Initial limit as a share of the engines. Loads begin to slow one another down above
+# 2 of 5 engines in small deployments and 10 of 24 in larger ones.
 FIRST_SHARE: Final = 0.4
-# Most engines that load at first: what sources of larger deployments bear.
-FIRST_MOST: Final = 10
-# More than half of the engines never load at once: the others serve.
+# Cap of the initial limit: what the weight sources of larger deployments support.
+MAX_FIRST: Final = 10
+# At most this share of the engines loads at a time; the others serve requests.
 MAX_SHARE: Final = 0.5
-# A load this many times as long as the quickest one is held up by the others. An engine
-# that is full, or is looked at late, takes up to 1.5 times as long.
+# A load that takes more than this many times as long as the fastest one is slowed down
+# by the others. A factor of up to 1.5 occurs at engines that are full or polled late.
 SLOW_FACTOR: Final = 1.8
-# As quick as the quickest, but for the pause between two looks.
+# A load up to this many times as long as the fastest one counts as equally fast: the
+# difference may come from the polling interval alone.
 QUICK_FACTOR: Final = 1.3
-# What is left of the bound after a slow load.
+# Factor by which a slow load reduces the limit.
 DECREASE: Final = 0.75
 
 
 class LoadLimit:
-    """The bound, and what it was learned from."""
+    """The adaptive limit on concurrent loads."""
 
     def __init__(self) -> None:
         self._quickest_seconds = float("inf")
-        # The bound as learned; None: no load has told anything yet.
+        # The adapted limit; None until a load has changed it.
         self._learned: float | None = None
 
-    def number(self, n_engines: int) -> int:
+    def max_loading(self, n_engines: int) -> int:
         """Return how many of `n_engines` may load at a time."""
         most = max(MIN_LOADING, int(n_engines * MAX_SHARE))
         wanted = self._learned
         if wanted is None:
-            wanted = min(n_engines * FIRST_SHARE, FIRST_MOST)
+            wanted = min(n_engines * FIRST_SHARE, MAX_FIRST)
         return max(MIN_LOADING, min(round(wanted), most))
 
-    def note(self, seconds: float, n_beside: int, n_engines: int) -> None:
-        """Take in a load that has succeeded.
+    def record_load(self, seconds: float, n_concurrent: int, n_engines: int) -> None:
+        """Adapt the limit to a load that has succeeded.
 
         Parameters
         ----------
         seconds : float
             Time from the order until the engine served the version.
         n_beside : int
-            Most engines that loaded at the same time, itself included.
+            Number of engines that loaded at the same time, this one included.
         n_engines : int
-            Engines that there are.
+            Number of all engines.
         """
         self._quickest_seconds = min(self._quickest_seconds, seconds)
-        bound = self.number(n_engines)
-        if seconds > self._quickest_seconds * SLOW_FACTOR and n_beside > MIN_LOADING:
-            # Several loads that were slow together are one sign, not many.
+        bound = self.max_loading(n_engines)
+        if (
+            seconds > self._quickest_seconds * SLOW_FACTOR
+            and n_concurrent > MIN_LOADING
+        ):
+            # Loads that were slow at the same time have the same `n_concurrent`, so
+            # together they reduce the limit just once.
             self._learned = max(
-                float(MIN_LOADING), min(float(bound), n_beside * DECREASE)
+                float(MIN_LOADING), min(float(bound), n_concurrent * DECREASE)
             )
-        elif seconds <= self._quickest_seconds * QUICK_FACTOR and 2 * n_beside > bound:
-            # Loads that began together each count until the bound has doubled.
+        elif (
+            seconds <= self._quickest_seconds * QUICK_FACTOR
+            and 2 * n_concurrent > bound
+        ):
+            # Each load of a concurrent round raises the limit by one, until it has
+            # doubled.
             self._learned = bound + 1.0
--- a/bilberrydrum/batches/loader.py
+++ b/bilberrydrum/batches/loader.py
@@ -61,7 +61,7 @@
 
     def note_step(self, model_name: str, min_version: int) -> None:
         """Take in the oldest version that a new step allows."""
-        self._named.note_step(model_name, min_version, clock.now())
+        self._named.record_step(model_name, min_version, clock.now())
 
     def step(
         self,
@@ -84,7 +84,7 @@
         shares : engine_shares.Shares
             The engines of each model.
         """
-        self._named.note(versions_by_model, now)
+        self._named.record(versions_by_model, now)
         wanted_by_model = {
             name: weight_plan.Wanted(
                 version,
@@ -98,7 +98,7 @@
             usable,
             shares.engine_ids_by_model,
             wanted_by_model,
-            self._limit.number(len(self._engines.by_id)),
+            self._limit.max_loading(len(self._engines.by_id)),
         )
         self._tasks = [each for each in self._tasks if not each.dead]
         for load in loads:
@@ -108,7 +108,7 @@
 
     def _load(self, engine: engines.Engine, load: weight_plan.Load) -> None:
         began = clock.now()
-        n_beside = self._engines.n_loading()
+        n_concurrent = self._engines.n_loading()
         try:
             # What runs goes on under the new version where the step allows both: the
             # engine serves without a pause, and only what it had stored is read again.
@@ -121,12 +121,12 @@
             )
             report = self._sender.carry_out(engine.upstream, order)
             if report is None:
-                engine.failed(clock.now())
+                engine.record_failure(clock.now())
                 return
             engine.learn(report.versions_by_model)
-            n_beside = max(n_beside, self._engines.n_loading())
+            n_concurrent = max(n_concurrent, self._engines.n_loading())
             seconds = clock.now() - began
-            self._limit.note(seconds, n_beside, len(self._engines.by_id))
+            self._limit.record_load(seconds, n_concurrent, len(self._engines.by_id))
         finally:
             engine.loading = None
             self._duties.wake()
--- a/bilberrydrum/batches/orders.py
+++ b/bilberrydrum/batches/orders.py
@@ -1,9 +1,10 @@
-"""Have one engine load one version, and know when it has.
+"""Order an engine to load a weight version and wait until it serves it.
 
 An order whose answer is lost may be carried out seconds later, after newer ones. So the
-engine's own account is asked before each sending, and each order names the number of
-orders that the engine must have taken by then: of two sendings of the same order at
-most one is carried out, and one that comes late finds another number and is refused.
+engine's report is fetched before each sending, and each order contains the number of
+orders that the engine has accepted according to the report. If an order is sent twice,
+the engine carries out at most one of them: the one that arrives later finds a different
+number and is refused.
 """
 
 from collections.abc import Callable
@@ -17,16 +18,19 @@
 from bilberrydrum.fleet import model
 from bilberrydrum.requests import attempts, single_calls
 
-# A load takes about a second, and longer while others load; an engine that needs more
-# than ten times that is given back, to be planned anew.
-LIMIT_SECONDS: Final = 10.0
-# Time for the answer to an order or a report.
+# Time after which a load counts as failed, in seconds, so that the engine is planned
+# again. A load takes about a second, and longer while other engines load; this is ten
+# times as long.
+TIMEOUT_SECONDS: Final = 10.0
+# Timeout for the answer to an order or to a report request, in seconds.
 _ANSWER_SECONDS: Final = 1.0
-# A report is some hundred milliseconds old: what was sent just before doesn't show.
+# Pause after an order that was not accepted, in seconds. Reports are a few hundred
+# milliseconds old, so an earlier one would not include the order.
 _REPORT_LAG_SECONDS: Final = 0.3
-# First look after an order was taken, and the pause between later ones.
-_FIRST_LOOK_SECONDS: Final = 0.9
-_LOOK_SECONDS: Final = 0.25
+# Pause before the first report after an order was accepted, and between later reports,
+# in seconds.
+_FIRST_POLL_SECONDS: Final = 0.9
+_POLL_SECONDS: Final = 0.25
 _OK: Final = 200
 _FENCED: Final = 412
 _MISDIRECTED: Final = 421
@@ -34,17 +38,19 @@
 
 @attrs.frozen
 class Order:
-    """What an engine is to be told."""
+    """An order to load weights, as it is to be sent to an engine."""
 
     load: weight_plan.Load
+    # Running requests continue under the new version.
     keeps_running: bool
+    # The process that sends the order.
     holder: str
-    # Whether the engine is still there to be told, as far as is known.
+    # Returns whether the engine is still registered.
     is_wanted: Callable[[], bool] = lambda: True
 
 
 class OrderSender:
-    """Gives orders, one at a time to each engine."""
+    """Sends orders to engines, one at a time to each engine."""
 
     def __init__(
         self,
@@ -59,32 +65,32 @@
     def carry_out(
         self, engine: model.FleetUpstream, order: Order
     ) -> upstream_protocol.EngineReport | None:
-        """Return the engine's report once it serves the version; None: it doesn't."""
-        deadline = clock.now() + LIMIT_SECONDS
+        """Return the engine's report once it serves the version; None on failure."""
+        deadline = clock.now() + TIMEOUT_SECONDS
         load = order.load
         while clock.now() < deadline:
-            report = self._ask_report(engine)
+            report = self._fetch_report(engine)
             if report is None:
-                clock.sleep(_LOOK_SECONDS)
+                clock.sleep(_POLL_SECONDS)
                 continue
-            if not _is_from(engine, report):
+            if not _is_same_incarnation(engine, report):
                 return None
             if report.versions_by_model.get(load.model, -1) >= load.version:
                 return report
             if report.is_busy:
-                clock.sleep(_LOOK_SECONDS)
+                clock.sleep(_POLL_SECONDS)
                 continue
             if not self._send(engine, order, report.sequence):
                 return None
         return None
 
     def _send(self, engine: model.FleetUpstream, order: Order, sequence: int) -> bool:
-        """Send the order once; False: there is no use in trying again."""
+        """Send the order once; return whether sending it again may help."""
         numbers: list[int] = []
 
         def prepare() -> upstream_protocol.OrderMessage | None:
-            # A process that was stopped since the report may not hold the right to give
-            # orders any more.
+            # The process may have been suspended since the report and may have lost its
+            # fencing number in the meantime.
             number = self._fencing_number()
             if number is None or not order.is_wanted():
                 return None
@@ -105,7 +111,7 @@
         if reply.is_withheld or reply.status in (_FENCED, _MISDIRECTED):
             return False
         is_taken = reply.status in (200, 202)
-        clock.sleep(_FIRST_LOOK_SECONDS if is_taken else _REPORT_LAG_SECONDS)
+        clock.sleep(_FIRST_POLL_SECONDS if is_taken else _REPORT_LAG_SECONDS)
         return True
 
     def _message(
@@ -123,7 +129,7 @@
             )
         )
 
-    def _ask_report(
+    def _fetch_report(
         self, engine: model.FleetUpstream
     ) -> upstream_protocol.EngineReport | None:
         message = self._protocol.ask_report(engine.announced_id)
@@ -143,13 +149,13 @@
         )
 
 
-def _is_from(
+def _is_same_incarnation(
     engine: model.FleetUpstream, report: upstream_protocol.EngineReport
 ) -> bool:
-    """Tell whether a report is from this incarnation of the engine.
+    """Return whether a report is from this incarnation of the engine.
 
-    One that has crashed and started again under its name counts its orders anew: it
-    would carry out an order that was made for the one before.
+    An engine that has crashed and restarted under the same name counts its orders from
+    0 again, so it could carry out an order that was meant for its previous incarnation.
     """
     if None in (engine.started_at_ms, report.started_at_ms):
         return True
--- a/bilberrydrum/batches/runner.py
+++ b/bilberrydrum/batches/runner.py
@@ -150,7 +150,7 @@
             age_seconds=round(age, 3),
         )
         self._loader.note_step(batch.model, batch.min_version)
-        self._demand.note(batch.model, opened.n_expected_output_tokens(), clock.now())
+        self._demand.record(batch.model, opened.n_expected_output_tokens(), clock.now())
         for result in self._work.carried_results(opened, self._route_of(opened)):
             self._take_carried(opened, result)
         self.wake()
@@ -230,8 +230,8 @@
     def _divide(self, now: float) -> None:
         models = self._engines.models()
         demand = self._demand.by_model(models, now)
-        lasting = [each.upstream_id for each in self._engines.lasting(now)]
-        self._shares = engine_shares.divide(lasting, demand, self._shares)
+        assignable = [each.upstream_id for each in self._engines.assignable(now)]
+        self._shares = engine_shares.divide(assignable, demand, self._shares)
 
     def _load_weights(self, usable: Sequence[engines.Engine], now: float) -> None:
         waiting_models = {
@@ -247,7 +247,7 @@
         items = self._sendable(now) + self._movable(slow_ids)
         if not items:
             return
-        places = [each.place(self._shares, slow_ids) for each in usable]
+        places = [each.capacity(self._shares, slow_ids) for each in usable]
         for assignment in scheduling.assign(
             items, places, now, self._work.count_running
         ):
@@ -323,7 +323,7 @@
         )
         run.n_moves += 1
         run.exclude(run.engine_id, clock.now())
-        self._items.take_away(assignment.key)
+        self._items.cancel_for_move(assignment.key)
 
     def _needs_single(self, model_name: str) -> bool:
         routes = [self._route_of(each) for each in self._work.of_model(model_name)]
--- a/bilberrydrum/batches/scheduling.py
+++ b/bilberrydrum/batches/scheduling.py
@@ -20,7 +20,7 @@
 
 import attrs
 
-from bilberrydrum.batches import place_heap, urgency
+from bilberrydrum.batches import engine_heap, urgency
 from bilberrydrum.fleet import policy
 
 # Share of an engine's places by which one that has the group's prompt may be busier
@@ -119,7 +119,7 @@
         fits = self.n_tokens + item.n_tokens <= self.n_cache_tokens
         return not self.n_cache_tokens or not self.n_running or fits
 
-    def rank(self, item: WaitingItem, has_group: bool) -> place_heap.Rank:
+    def rank(self, item: WaitingItem, has_group: bool) -> engine_heap.Rank:
         """Return its rank among the places that can take `item`; the least is best.
 
         `has_group` tells whether items of its group run here.
@@ -184,9 +184,9 @@
         tier = tiers[item.group_key]
         return tier, item.precedence, item.key in behind, item.start_by, item.key
 
-    choice = place_heap.Choice(items, places)
+    chooser = engine_heap.EngineChooser(items, places)
     for item in sorted(items, key=order):
-        place = choice.take(item)
+        place = chooser.choose(item)
         if place is not None:
             assignments.append(Assignment(item.key, place.engine_id))
     return assignments
--- a/bilberrydrum/batches/score_sender.py
+++ b/bilberrydrum/batches/score_sender.py
@@ -1,7 +1,7 @@
-"""Make the scoring requests of whole texts, and take their scores.
+"""Send scoring requests for complete texts and handle the scores.
 
-A scoring request goes the way of any request that is passed on: by the route of its
-host and path, to upstreams that `relay` chooses, again elsewhere after a failure.
+A scoring request is relayed like any other request: its host and path select the route,
+`relay` chooses the upstream and retries at another one after a failure.
 """
 
 import collections
@@ -27,21 +27,21 @@
 
 
 class ScoreSender:
-    """The tasks of the items that are being scored."""
+    """Runs one task for each item that is being scored."""
 
     def __init__(
         self,
-        passing_on: relay.Relay,
+        request_relay: relay.Relay,
         view: subscriber.Subscriber,
         given_hooks: hooks.Hooks,
         pace: urgency.Pace,
         wake: Callable[[], None],
     ) -> None:
-        self._relay = passing_on
+        self._relay = request_relay
         self._view = view
         self._hooks = given_hooks
         self._pace = pace
-        # Called when a place has come free.
+        # Called when another scoring request may be sent.
         self._wake = wake
         self._tasks = item_tasks.ItemTasks()
         self._n_by_route: collections.Counter[str] = collections.Counter()
@@ -62,12 +62,12 @@
                 runs_by_key[unscored.key] = (opened, run)
         for name, candidates in waiting.items():
             route = routes_by_name[name]
-            n_free = self._n_places(route) - self._n_by_route[name]
+            n_free = self._n_slots(route) - self._n_by_route[name]
             for each in scoring.choose(candidates, n_free):
                 self._send(*runs_by_key[each.key], route)
 
     def _route_of(self, run: lifecycle.ItemRun, now: float) -> policy.Route | None:
-        """Return the route of a scoring request that may be made now."""
+        """Return the route of an item's scoring request if it may be sent now."""
         request = run.item.scoring
         if request is None or now < run.not_before:
             return None
@@ -85,8 +85,8 @@
             )
         return route
 
-    def _n_places(self, route: policy.Route) -> int:
-        return scoring.n_places(
+    def _n_slots(self, route: policy.Route) -> int:
+        return scoring.max_concurrent(
             each.n_slots
             for service in route.services()
             for each in self._view.registry.of_service(service)
@@ -94,11 +94,11 @@
         )
 
     def cancel_batch(self, batch_id: str) -> None:
-        """Break off the scoring requests of a batch."""
+        """Cancel the scoring requests of a batch."""
         self._tasks.cancel_batch(batch_id)
 
     def stop(self) -> None:
-        """Break off all scoring requests."""
+        """Cancel all scoring requests."""
         self._tasks.cancel_all()
 
     def _send(
@@ -108,7 +108,7 @@
         self._n_by_route[route.name] += 1
         key = (opened.batch.batch_id, run.item.item_id)
         score = functools.partial(self._score, opened, run, route, key)
-        self._tasks.start(key, score, functools.partial(self._ended, run, route, key))
+        self._tasks.start(key, score, functools.partial(self._release, run, route, key))
 
     def _score(
         self,
@@ -120,24 +120,24 @@
         request = run.item.scoring
         assert request is not None
         began = clock.now()
-        # Were the attempt to end by a fault in this program, the item would otherwise
-        # be sent again at once, as fast as it fails.
+        # If the attempt ended with an unexpected exception, the item would otherwise be
+        # resent at once, in a tight loop.
         run.not_before = began + scoring.LONG_PAUSE_SECONDS
         try:
-            answer = self._ask(opened, run, request, route)
+            answer = self._request_score(opened, run, request, route)
         finally:
-            self._ended(run, route, key)
-        self._settle(opened, run, request, route, answer, clock.now() - began)
+            self._release(run, route, key)
+        self._apply_result(opened, run, request, route, answer, clock.now() - began)
 
-    def _ended(
+    def _release(
         self, run: lifecycle.ItemRun, route: policy.Route, key: item_tasks.Key
     ) -> None:
         run.end_scoring()
         self._n_by_route[route.name] -= 1
-        self._tasks.ended(key)
+        self._tasks.remove(key)
         self._wake()
 
-    def _ask(
+    def _request_score(
         self,
         opened: work.OpenBatch,
         run: lifecycle.ItemRun,
@@ -165,7 +165,7 @@
             return reasons.Reason.ATTEMPT_SUPERSEDED
         return None
 
-    def _settle(
+    def _apply_result(
         self,
         opened: work.OpenBatch,
         run: lifecycle.ItemRun,
@@ -178,45 +178,45 @@
         signature = ""
         if isinstance(answer, relay_model.Answered):
             signature = answer.signature
-        verdict = scoring.judge(
+        decision = scoring.decide(
             answer, bool(signature), run.n_scoring_failures, route.max_attempts
         )
-        counters.SCORING_SECONDS.labels(verdict.value).observe(seconds)
+        counters.SCORING_SECONDS.labels(decision.value).observe(seconds)
         eliot.log_message(
             message_type="batches:scoring",
             batch_id=opened.batch.batch_id,
             item_id=run.item.item_id,
             request_id=request.request_id,
             route=route.name,
-            outcome=verdict.value,
+            outcome=decision.value,
             reason=getattr(getattr(answer, "reason", None), "value", ""),
             status=getattr(answer, "status", 0),
             n_failures=run.n_scoring_failures,
             seconds=round(seconds, 3),
         )
-        self._follow(opened, run, verdict, signature, seconds)
+        self._apply_decision(opened, run, decision, signature, seconds)
 
-    def _follow(
+    def _apply_decision(
         self,
         opened: work.OpenBatch,
         run: lifecycle.ItemRun,
-        verdict: scoring.Verdict,
+        decision: scoring.Decision,
         signature: str,
         seconds: float,
     ) -> None:
         now = clock.now()
         batch_id = opened.batch.batch_id
-        if verdict is scoring.Verdict.SCORED:
+        if decision is scoring.Decision.SCORED:
             self._pace.note_scoring(seconds)
             unscored = run.unscored
             run.finish()
             if unscored is not None:
                 self._hooks.score(batch_id, run.item.item_id, signature)
-        elif verdict is scoring.Verdict.GIVEN_UP:
+        elif decision is scoring.Decision.GIVEN_UP:
             run.finish()
             given_up = model.Result(run.item.item_id, model.ItemState.TERMINATED)
             self._hooks.finish(batch_id, given_up)
-        elif verdict is scoring.Verdict.AGAIN:
+        elif decision is scoring.Decision.RETRY:
             run.not_before = now + scoring.PAUSE_SECONDS
         else:
             run.not_before = now + scoring.LONG_PAUSE_SECONDS
--- a/bilberrydrum/batches/scoring.py
+++ b/bilberrydrum/batches/scoring.py
@@ -1,13 +1,15 @@
-"""Which whole texts are scored next, how many at a time, and what an answer means.
-
-Pure. Answers the load in which the items of a step end together: a hundred scoring
-requests within a second, at a service with a dozen places which also serves look-ups
-from gateways that cannot see one another. All sent at once, they would fill its places
-and its queues, and a look-up would wait for several of them. So:
-
-- scoring requests take all places of the service but one at each upstream;
-- the others wait here, where they can be ordered: a trainer waits for whole groups, so
-  the group that lacks the fewest results goes first, and spare groups go last.
+"""Choose which texts are scored next, limit concurrency, and interpret answers.
+
+All functions are pure. They are designed for steps whose items end at the same time: a
+hundred scoring requests within a second, for a service with a dozen slots that also
+serves look-ups from gateways which don't know of one another's load. If all requests
+were sent at once, they would fill the service's slots and queues, and a look-up would
+wait for several of them. So:
+
+- scoring requests use all slots of the service except one at each upstream;
+- the remaining requests wait here, where they can be ordered. A trainer waits for
+  complete groups, so the group that lacks the fewest results goes first, and groups
+  that nobody waits for go last.
 """
 
 import enum
@@ -19,93 +21,95 @@
 from bilberrydrum import reasons
 from bilberrydrum.relay import model as relay_model
 
-# Places of each upstream that scoring requests leave to others. With one upstream of
-# six places, 99 of 100 texts have their score 1.4 s after their last event at the
-# latest, with two free places 1.9 s; with four free, scores fall behind for good. Three
-# look-ups a second took under 0.17 s with any number (simulated, 8 seeds of 10 steps of
-# 104 items); the free place is for services that others use more.
-FREE_PLACES: Final = 1
-# Pause before a scoring request is made again after an attempt that gave nothing, in
+# Slots of each upstream that scoring requests leave free for other requests. One is
+# enough, and each further one delays scores: at one upstream with six slots, the 99th
+# percentile of the time from a text's last event to its score was 1.4 s with one
+# reserved slot and 1.9 s with two; with four, scoring could not keep up.
+RESERVED_SLOTS: Final = 1
+# Pause before a scoring request is retried after an attempt without a score, in
 # seconds: about one service time.
 PAUSE_SECONDS: Final = 0.1
-# The same where nothing can be done soon: there is no route for it, or the service
-# gives an answer that is neither a success nor a failure of its own.
+# The same, in seconds, where an early retry is unlikely to help: there is no route for
+# the request, or the answer was neither a success nor a failure of the service.
 LONG_PAUSE_SECONDS: Final = 0.5
-# A request that ended upstreams is refused until it is cleared, or its item given up.
-_HELD_BACK: Final = frozenset(
+# Refusals of requests that are suspected of crashing upstreams. They continue until the
+# request is cleared or its item is given up.
+_BLOCKING_REASONS: Final = frozenset(
     {reasons.Reason.REQUEST_DOUBTFUL, reasons.Reason.REQUEST_QUARANTINED}
 )
 
 
 @attrs.frozen
 class Unscored:
-    """A whole text that waits for its score."""
+    """A complete text that waits for its score."""
 
-    # Its batch and its item.
+    # Ids of its batch and its item.
     key: tuple[str, str]
-    # Its group is not waited for.
+    # The trainer doesn't wait for its group.
     is_spare: bool
-    # Items of its group that have no result yet, itself included.
+    # Number of items of its group without a result, this one included.
     n_missing: int
-    # When it has to be done, in seconds of the clock.
+    # When the item has to be finished, in seconds of `clock.now`.
     done_by: float
 
 
-def n_places(slots: Iterable[int], n_free: int = FREE_PLACES) -> int:
-    """Return how many scoring requests may be under way at a time.
+def max_concurrent(slots: Iterable[int], n_reserved: int = RESERVED_SLOTS) -> int:
+    """Return how many scoring requests may be in flight at a time.
 
     Parameters
     ----------
     slots : iterable of int
-        Places of each upstream of the service; 0: it does not tell, and one is taken.
-    n_free : int
-        Places of each upstream that are left to others.
+        Number of slots of each upstream of the service; 0 if not reported, which
+        allows one request.
+    n_reserved : int
+        Number of slots of each upstream that are left to other requests.
     """
-    return sum(max(each - n_free, 1) for each in slots)
+    return sum(max(each - n_reserved, 1) for each in slots)
 
 
 def choose(unscored: Sequence[Unscored], n_free: int) -> list[Unscored]:
-    """Return what is scored now, at most `n_free`."""
+    """Return the texts to score now in order of priority, at most `n_free`."""
     ranked = sorted(unscored, key=lambda e: (e.is_spare, e.n_missing, e.done_by, e.key))
     return ranked[: max(n_free, 0)]
 
 
-class Verdict(enum.Enum):
-    """What an answer to a scoring request means."""
+class Decision(enum.Enum):
+    """What to do after the answer to a scoring request."""
 
     SCORED = "scored"
     # The service has failed as often as the route allows.
     GIVEN_UP = "given-up"
-    AGAIN = "again"
-    AGAIN_LATER = "again-later"
+    RETRY = "again"
+    RETRY_LATER = "again-later"
 
 
-def judge(
+def decide(
     answer: relay_model.Answered | relay_model.Refused,
-    is_own_answer: bool,
+    is_signed: bool,
     n_failures: int,
     max_attempts: int,
-) -> Verdict:
-    """Return what is to be done after an answer.
+) -> Decision:
+    """Return what to do after an answer to a scoring request.
 
     Parameters
     ----------
     answer : relay_model.Answered or relay_model.Refused
         The answer.
     is_own_answer : bool
-        Whether an upstream has signed it as the answer to this very request.
+        Whether an upstream has signed it as the answer to this request.
     n_failures : int
-        Failures of their own by which upstreams have answered so far, with this one.
+        Number of error answers from upstreams to this request so far, this one
+        included.
     max_attempts : int
-        Failures that the route allows.
+        Number of error answers that the route allows.
     """
-    if isinstance(answer, relay_model.Refused) and answer.reason in _HELD_BACK:
-        return Verdict.AGAIN_LATER
+    if isinstance(answer, relay_model.Refused) and answer.reason in _BLOCKING_REASONS:
+        return Decision.RETRY_LATER
     if isinstance(answer, relay_model.Answered):
         if answer.status // 100 == 2:
-            return Verdict.SCORED if is_own_answer else Verdict.AGAIN_LATER
+            return Decision.SCORED if is_signed else Decision.RETRY_LATER
         if not answer.n_failures:
-            return Verdict.AGAIN_LATER
+            return Decision.RETRY_LATER
     if n_failures >= max_attempts:
-        return Verdict.GIVEN_UP
-    return Verdict.AGAIN
+        return Decision.GIVEN_UP
+    return Decision.RETRY
--- a/bilberrydrum/batches/weight_plan.py
+++ b/bilberrydrum/batches/weight_plan.py
@@ -1,19 +1,21 @@
-"""Which engines load which version of a model's weights next.
-
-Engines are loaded a few at a time, as each load takes longer while others load, and
-never more than half of a model's engines at once: the others go on under the version
-before, if a step allows it.
-
-Answers the load in which a trainer names a version and hands in its next step at the
-same moment, every few seconds. A load stops an engine for a second: its streams pause
-and it starts nothing. Were each engine to load each version at once, half of them would
-be away just when the step comes, and each item of 5 s would be paused once. So:
-
-- an engine that is too old for the next step loads at once;
-- of the others, half are kept at the newest version, so that not all are too old when
-  the next one is named; the two halves then load by turns, each every second version.
-  They wait until nothing waits for them, or for so long that they would be late;
-- an engine without work loads what is newest: its next samples are fresher for it.
+"""Plan which engines load which weight version next.
+
+Only a few engines load at a time, because each load takes longer while others are in
+progress, and at most half of a model's engines, but always one: the others continue
+under the previous version if the step allows it.
+
+The plan is designed for trainers that announce a version and submit their next step at
+the same moment, every few seconds. A load stops an engine for a second: its streams
+pause, and it starts no new item. If each engine loaded each version at once, half of
+them would be unavailable just when the step arrives, and each item of 5 s would be
+paused once. So:
+
+- an engine whose version is too old for the newest step loads at once;
+- of the others, as many load as are needed to have half of the engines at the newest
+  version, so that not all engines are too old once the next version is announced. The
+  two halves alternate, each loading every second version. These loads are deferred
+  until no item waits for a run slot, at most for `MAX_DEFER_SECONDS`;
+- an engine without work loads the newest version, so its next samples are less stale.
 """
 
 from collections.abc import Collection, Mapping
@@ -21,17 +23,18 @@
 
 import attrs
 
-# A step that is handed in with a new version is there within this time, in seconds.
-SETTLE_SECONDS: Final = 0.3
-# Loads that are put off begin this long after the version was named, in seconds, at the
-# latest: the next one may come after 4 s, and two loads one after the other take 2.4 s.
-DEFER_SECONDS: Final = 1.5
+# A step that is submitted together with a new version arrives within this time after
+# the announcement of the version, in seconds.
+STEP_ARRIVAL_SECONDS: Final = 0.3
+# Deferred loads start at the latest this long after the version was announced, in
+# seconds. The next version may follow after 4 s, and two consecutive loads take 2.4 s.
+MAX_DEFER_SECONDS: Final = 1.5
 
 
 class EngineWeights(Protocol):
-    """One engine, as far as its weights matter.
+    """The part of an engine's state that the plan needs.
 
-    The runner's own engines are looked at, not copies: there may be thousands.
+    The runner passes its own engine objects instead of copies: there may be thousands.
     """
 
     @property
@@ -40,39 +43,39 @@
 
     @property
     def versions_by_model(self) -> Mapping[str, int]:
-        """The versions that it serves."""
+        """The weight version that it serves of each model."""
 
     @property
     def is_loading(self) -> bool:
-        """Whether it carries out an order, or an order's fate is not known yet."""
+        """Whether it carries out an order, or the result of an order is unknown."""
 
     @property
     def n_running(self) -> int:
-        """Requests that it runs for this system."""
+        """Number of requests that it runs for this service."""
 
 
 @attrs.frozen
 class Wanted:
-    """What a model's trainer asks for."""
+    """The weight version that a model's trainer asks for."""
 
-    # The newest version that was named.
+    # The newest version that was announced.
     version: int
-    # Versions by which an engine may be behind and still serve the newest step.
+    # By how many versions an engine may be behind and still serve the newest step.
     lag: int = 0
-    # Time since it was named, in seconds.
+    # Time since the version was announced, in seconds.
     age_seconds: float = float("inf")
-    # Items of the model wait for a place.
+    # Items of the model wait for a run slot.
     has_waiting: bool = False
 
-    def may_defer_no_longer(self) -> bool:
-        """Tell whether loads that can wait should begin."""
-        is_quiet = not self.has_waiting and self.age_seconds >= SETTLE_SECONDS
-        return is_quiet or self.age_seconds >= DEFER_SECONDS
+    def is_deferral_over(self) -> bool:
+        """Return whether deferred loads should start."""
+        is_quiet = not self.has_waiting and self.age_seconds >= STEP_ARRIVAL_SECONDS
+        return is_quiet or self.age_seconds >= MAX_DEFER_SECONDS
 
 
 @attrs.frozen
 class Load:
-    """An engine is to serve a version."""
+    """A load of a weight version at an engine."""
 
     engine_id: str
     model: str
@@ -80,33 +83,37 @@
 
 
 @attrs.define
-class _Mates:
-    """The engines of one model that are there.
+class _ModelEngines:
+    """The usable engines of one model, and which of them are loading.
 
-    Counted once for a plan: with thousands of engines and hundreds of loads due
-    together, counting for each load would hold all other tasks up.
+    The engines are counted once per plan. With thousands of engines and hundreds of
+    loads due at the same time, counting them for each load would block all other tasks
+    of the process.
     """
 
     engine_ids: frozenset[str]
-    # Those that load, or are to begin.
+    # Engines that are loading or are planned to load.
     loading_ids: set[str]
 
     @classmethod
     def of(
         cls, engine_ids: frozenset[str], by_id: Mapping[str, EngineWeights]
-    ) -> "_Mates":
+    ) -> "_ModelEngines":
         present = engine_ids & by_id.keys()
         return cls(present, {each for each in present if by_id[each].is_loading})
 
-    def may_begin(self, engine_id: str) -> bool:
-        """Tell whether one may begin: half of them go on serving."""
+    def may_load(self, engine_id: str) -> bool:
+        """Return whether an engine may start to load.
+
+        At least half of the engines keep serving, but one engine may always load.
+        """
         if engine_id in self.loading_ids:
             return False
         n_loading = len(self.loading_ids)
         return n_loading == 0 or n_loading + 1 <= len(self.engine_ids) // 2
 
-    def begin(self, engine_id: str) -> None:
-        """Note that an engine is to begin, if it is one of them."""
+    def record_load(self, engine_id: str) -> None:
+        """Record that an engine is planned to load, if it is one of this model's."""
         if engine_id in self.engine_ids:
             self.loading_ids.add(engine_id)
 
@@ -117,39 +124,39 @@
     wanted_by_model: Mapping[str, Wanted],
     max_loading: int,
 ) -> list[Load]:
-    """Return the loads that are to begin now."""
+    """Return the loads to start now, so that at most `max_loading` engines load."""
     n_free = max_loading - sum(1 for each in engines if each.is_loading)
     if n_free <= 0:
         return []
     by_id = {each.upstream_id: each for each in engines}
-    needs = _needs(by_id, engine_ids_by_model, wanted_by_model)
-    if not needs:
+    due_loads = _due_loads(by_id, engine_ids_by_model, wanted_by_model)
+    if not due_loads:
         return []
-    mates_by_model = {
-        model: _Mates.of(engine_ids, by_id)
+    model_engines_by_model = {
+        model: _ModelEngines.of(engine_ids, by_id)
         for model, engine_ids in engine_ids_by_model.items()
     }
     loads: list[Load] = []
-    for need in needs:
+    for load in due_loads:
         if len(loads) >= n_free:
             break
-        if not mates_by_model[need.model].may_begin(need.engine_id):
+        if not model_engines_by_model[load.model].may_load(load.engine_id):
             continue
-        loads.append(need)
-        for mates in mates_by_model.values():
-            mates.begin(need.engine_id)
+        loads.append(load)
+        for model_engines in model_engines_by_model.values():
+            model_engines.record_load(load.engine_id)
     return loads
 
 
-def _needs(
+def _due_loads(
     by_id: Mapping[str, EngineWeights],
     engine_ids_by_model: Mapping[str, frozenset[str]],
     wanted_by_model: Mapping[str, Wanted],
 ) -> list[Load]:
-    """Return all loads that are due, the engine furthest behind first.
+    """Return all loads that are due, starting with the engine furthest behind.
 
-    Loads of engines without work come only if no other is due: there may be hundreds
-    of them, and they would hold up the one that a step waits for.
+    Loads of engines without work are returned only if no other load is due: there may
+    be hundreds of them, and they would delay the one that a step waits for.
     """
     due = []
     idle = []
@@ -187,12 +194,12 @@
     """Return the engines of a model that should load now."""
     oldest = wanted.version - wanted.lag
     too_old = [e for e in engines if e.versions_by_model[model] < oldest]
-    if not wanted.may_defer_no_longer():
+    if not wanted.is_deferral_over():
         return too_old
     behind = [e for e in engines if oldest <= e.versions_by_model[model]]
     behind = [e for e in behind if e.versions_by_model[model] < wanted.version]
     behind.sort(key=lambda e: (e.versions_by_model[model], e.n_running, e.upstream_id))
-    # Those that are too old will have the newest version as well.
+    # Engines that are too old count as newest, because they load it too.
     n_newest = len(engines) - len(behind) + sum(1 for e in behind if e.is_loading)
     n_missing = max(len(engines) // 2 - n_newest, 0)
     waiting = [each for each in behind if not each.is_loading]
@@ -202,8 +209,8 @@
 def _idle(
     model: str, wanted: Wanted, engines: Collection[EngineWeights]
 ) -> list[EngineWeights]:
-    """Return the engines without work that could load what is newest."""
-    if wanted.has_waiting or wanted.age_seconds < DEFER_SECONDS:
+    """Return the engines without work that could load the newest version."""
+    if wanted.has_waiting or wanted.age_seconds < MAX_DEFER_SECONDS:
         return []
     return [
         each
--- a/simulation/load.py
+++ b/simulation/load.py
@@ -59,7 +59,7 @@
     """What is compared: a mechanism that is off is not told what it needs."""
 
     # Places of each upstream that scoring requests leave free.
-    n_free_places: int = scoring.FREE_PLACES
+    n_free_places: int = scoring.RESERVED_SLOTS
     # Groups that the trainer does not wait for go last.
     has_spare_groups: bool = True
     # Groups that cannot be in time go behind those that can.
--- a/simulation/rollouts.py
+++ b/simulation/rollouts.py
@@ -253,7 +253,7 @@
 
     def _score(self) -> None:
         slots = [each.n_slots for each in self._service.described]
-        n_places = scoring.n_places(slots, self._policy.n_free_places)
+        n_places = scoring.max_concurrent(slots, self._policy.n_free_places)
         candidates = [
             scoring.Unscored(
                 item.key,
--- a/tests/fakes/engine_storm.py
+++ b/tests/fakes/engine_crashes.py
@@ -1,8 +1,8 @@
-"""Engines that run items of batches and end by a storm, or under guilty items.
+"""Simulated engines that crash for reasons of their own or because of culprit items.
 
-Time is virtual, in steps. Items run for seconds and go on elsewhere when they are cut
-off. The engines in a storm end again and again, a part of them at a time, and are back
-half a second later.
+Time is virtual and advances in steps. Items run for seconds and are resumed elsewhere
+when their engine crashes. During a burst of crashes two engines at a time crash again
+and again, and each is back about half a second later.
 """
 
 import collections
@@ -12,11 +12,11 @@
 
 from bilberrydrum import quarantine
 
-GUILTY = "guilty"
+CULPRIT = "guilty"
 _STEP_SECONDS = 0.05
 _DOWN_SECONDS = 0.6
-# Time from the begin of a guilty item's run to the end of its engine.
-_GUILTY_SECONDS = 0.1
+# Time from the start of a culprit's run to the crash of its engine, in seconds.
+_CULPRIT_SECONDS = 0.1
 _UNTIL = 30.0
 
 
@@ -34,19 +34,19 @@
     runs: list[_Run] = attrs.field(factory=list)
 
 
-class EngineStorm:
-    """One play.
+class EngineCrashes:
+    """One simulation run.
 
     Parameters
     ----------
     book : quarantine.Book
-        Told of the crashes, and asked who may be sent.
+        Records the crashes and decides which items may be sent.
     seed : int
-        Seed of the play.
-    storm_seconds : float
-        How long the storm lasts; 0: there is none.
-    n_guilty : int
-        Items that end whatever runs them.
+        Seed of the random numbers.
+    burst_seconds : float
+        Duration of the burst of crashes, in seconds; 0 for none.
+    n_culprits : int
+        Number of items that crash each engine that runs them.
     """
 
     N_ENGINES = 5
@@ -54,49 +54,49 @@
     N_ITEMS = 40
 
     def __init__(
-        self, book: quarantine.Book, seed: int, storm_seconds: float, n_guilty: int
+        self, book: quarantine.Book, seed: int, burst_seconds: float, n_culprits: int
     ) -> None:
         self.book = book
         self._rng = random.Random(seed)
-        self._storm_seconds = storm_seconds
+        self._burst_seconds = burst_seconds
         self._engines = [_Engine() for _ in range(self.N_ENGINES)]
         self._waiting = [f"item-{n}" for n in range(self.N_ITEMS)]
-        self.guilty = {f"{GUILTY}-{n}" for n in range(n_guilty)}
-        for name in sorted(self.guilty):
+        self.culprits = {f"{CULPRIT}-{n}" for n in range(n_culprits)}
+        for name in sorted(self.culprits):
             self._waiting.insert(self._rng.randrange(self.N_ITEMS), name)
         self._n_new = self.N_ITEMS
         self._now = 0.0
         self.quarantined: set[str] = set()
-        # Engines that ended while they ran a guilty item, by its name.
-        self.n_ended_by_name: collections.Counter[str] = collections.Counter()
+        # Number of crashes of engines that ran a culprit, by the culprit's name.
+        self.n_crashed_by_name: collections.Counter[str] = collections.Counter()
 
     def run(self) -> None:
-        """Play to the end."""
+        """Run the simulation to its end."""
         next_crash_at = 1.0
         while self._now < _UNTIL:
             self._now += _STEP_SECONDS
             self._finish_runs()
-            if next_crash_at <= self._now < 1.0 + self._storm_seconds:
+            if next_crash_at <= self._now < 1.0 + self._burst_seconds:
                 for engine in self._rng.sample(self._engines, 2):
-                    self._end(engine)
+                    self._crash(engine)
                 next_crash_at += self._rng.uniform(0.5, 1.2)
             self._send()
 
     def _finish_runs(self) -> None:
         for engine in self._engines:
-            guilty = [each for each in engine.runs if each.name in self.guilty]
-            if any(self._now - each.began_at >= _GUILTY_SECONDS for each in guilty):
-                self.n_ended_by_name.update(each.name for each in guilty)
-                self._end(engine)
+            culprits = [each for each in engine.runs if each.name in self.culprits]
+            if any(self._now - each.began_at >= _CULPRIT_SECONDS for each in culprits):
+                self.n_crashed_by_name.update(each.name for each in culprits)
+                self._crash(engine)
                 continue
             for run in [each for each in engine.runs if each.ends_at <= self._now]:
                 engine.runs.remove(run)
                 self.book.clear(run.name)
-                # The next item of some batch takes its place.
+                # A new item replaces the finished one.
                 self._n_new += 1
                 self._waiting.append(f"item-{self._n_new}")
 
-    def _end(self, engine: _Engine) -> None:
+    def _crash(self, engine: _Engine) -> None:
         if engine.up_from > self._now:
             return
         start = f"{id(engine)}-{engine.n_starts}"
@@ -122,7 +122,7 @@
             ]
             standing = self.book.standing(name)
             if standing is quarantine.Standing.DOUBTFUL:
-                up = [each for each in up if not self._has_doubtful(each)]
+                up = [each for each in up if not self._has_suspected(each)]
             if not up or standing is quarantine.Standing.QUARANTINED:
                 kept.append(name)
                 continue
@@ -131,5 +131,5 @@
             engine.runs.append(_Run(name, self._now, self._now + seconds))
         self._waiting = kept
 
-    def _has_doubtful(self, engine: _Engine) -> bool:
+    def _has_suspected(self, engine: _Engine) -> bool:
         return any(self.book.standing(each.name) for each in engine.runs)
--- a/tests/fakes/orders.py
+++ b/tests/fakes/orders.py
@@ -1,4 +1,4 @@
-"""The orders that a stand-in for an engine carries out."""
+"""The orders that a fake engine carries out."""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -17,24 +17,24 @@
 
 
 class Orders:
-    """Models, versions, adapters and role of one engine, changed by orders.
+    """Models, weight versions, adapters and role of one engine, changed by orders.
 
     Parameters
     ----------
     models : list of str
-        Models that the engine has.
+        Names of the models that the engine serves.
     weight_version : int
-        Version that it starts with.
+        Weight version that each model starts with.
     checks_fencing : bool
-        Refuse an order with a lower fencing number than one seen before.
+        Whether to refuse an order with a lower fencing number than an earlier one.
     swap_seconds : float
-        Time that a swap takes.
+        Time that a swap of versions takes, in seconds.
     switches : faults.EngineFaults
-        Faults of the engine.
+        Faults that the engine simulates.
     notes : journal.Journal
-        Where orders are noted.
+        Journal to which orders are written.
     on_change : callable
-        Called after an order was carried out.
+        Called after each order that was carried out.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self._pool = urllib3.PoolManager(retries=False)
 
     def models(self) -> dict[str, Any]:
-        """Return the models as they are announced."""
+        """Return the models as the engine announces them."""
         return {
             name: {
                 "weight_version": version,
@@ -72,7 +72,7 @@
         }
 
     def serve(self, request: server.Request) -> server.Answer:
-        """Serve ``POST /orders``; an order sent again is answered as before."""
+        """Serve ``POST /orders``; a repeated order gets its earlier answer."""
         order = request.json()
         number = int(order["fencing_number"])
         if self._checks_fencing and number < self.fencing_number:
--- a/tests/fakes/scorer.py
+++ b/tests/fakes/scorer.py
@@ -1,7 +1,7 @@
-"""A stand-in for a service that scores samples.
+"""A fake service that scores samples.
 
-The score is a hash of the sample's tokens, so that whoever has the tokens can tell
-whether the score belongs to them.
+The score is a hash of the sample's tokens, so a test that has the tokens can check
+whether a score belongs to them.
 """
 
 import hashlib
@@ -15,7 +15,7 @@
 
 
 def score_of(token_ids: Sequence[int]) -> float:
-    """Return the score, 0 to 1, of an answer."""
+    """Return the score of a sample, from 0 to 1."""
     text = ",".join(str(i) for i in token_ids)
     digest = hashlib.sha256(text.encode()).digest()
     return int.from_bytes(digest[:4]) / 2**32
--- a/tests/test_batches_assign.py
+++ b/tests/test_batches_assign.py
@@ -1,4 +1,4 @@
-"""Which item goes to which place."""
+"""The assignment of waiting items to engines."""
 
 import collections
 import unittest
@@ -13,14 +13,14 @@
 
 
 class Assign(unittest.TestCase):
-    """What goes first, and where."""
+    """The order in which items are assigned, and the engines that they get."""
 
     def keys(self, items, places):
         assigned = scheduling.assign(items, places, 0.0)
         return [(each.key[1], each.engine_id) for each in assigned]
 
     @tools.params(
-        ("no place", place(n_running=2), ()),
+        ("no free slot", place(n_running=2), ()),
         ("version too old", place(version=0), ()),
         ("loads its model", place(loading_models=frozenset({"m"})), ()),
         ("loads another model", place(loading_models=frozenset({"o"})), ("i",)),
@@ -38,27 +38,28 @@
         ("two engines", ("e1", "e2"), ["a", "b"], ["e1", "e2"]),
         ("one engine", ("e1",), ["a"], ["e1"]),
     )
-    def test_doubtful_items_are_kept_apart(self, name, engine_ids, taken, where):
-        """Two items were cut off together twice; one of them ends engines.
+    def test_suspected_items_are_kept_apart(self, name, engine_ids, taken, where):
+        """An innocent item is quarantined together with one that crashes engines.
 
-        On one engine again they would look alike for good, and the innocent one would
-        be held back with the other.
+        Two items were running at the same engine in both of two crashes, and one of
+        them caused these. If they shared an engine again, nothing would distinguish
+        them.
         """
         items = [waiting(each, group="g", is_doubtful=True) for each in "ab"]
         given = self.keys(items, [place(each, 6) for each in engine_ids])
         self.assertEqual([item_id for item_id, _ in given], taken, name)
         self.assertEqual(sorted(engine_id for _, engine_id in given), where, name)
 
-    def test_doubtful_item_leaves_the_engine_to_others(self):
+    def test_suspected_item_does_not_block_others(self):
         items = [waiting("doubtful", is_doubtful=True), waiting("other")]
         given = self.keys(items, [place("e", 6, has_doubtful=True)])
         self.assertEqual(given, [("other", "e")])
 
     def test_least_time_left_first(self):
-        """Places are scarce while two trainers wait.
+        """An urgent item waits behind one that could start later.
 
-        An item that has to start soon waits behind none that could start later; what
-        is late already, and what no trainer waits for, goes behind all others.
+        Run slots are scarce. Items are ordered by their latest start; items that are
+        late already, and items that no trainer waits for, come after all others.
         """
         items = [
             waiting("spare", start_by=0.5, is_spare=True),
@@ -71,11 +72,12 @@
         names = [item_id for item_id, _ in taken]
         self.assertEqual(names, ["perhaps-late", "long", "short", "late", "spare"])
 
-    def test_group_stays_together_within_reason(self):
-        """Items of two groups meet two empty engines.
+    def test_group_stays_together_within_limits(self):
+        """Items of two groups are assigned to two empty engines.
 
-        All of a group on one engine would fill that one while the other idles; each
-        on an engine of its own would have every prompt read everywhere.
+        If all items of a group went to one engine, it could be full while the other is
+        idle. If items were spread evenly, each prompt would be processed at each
+        engine.
         """
         items = [waiting(f"{g}{n}", group=g) for g in "xy" for n in range(4)]
         taken = self.keys(items, [place("e1", 8), place("e2", 8)])
--- a/tests/test_batches_ends.py
+++ b/tests/test_batches_ends.py
@@ -240,14 +240,14 @@
         self.begin(n_items)
         other = self.engine_server()
         self.view.add("e2", other)
-        take, send = item_sender.ItemSender.take_away, item_sender.ItemSender.send
+        take, send = item_sender.ItemSender.cancel_for_move, item_sender.ItemSender.send
         ended, sent, looks = [], [], []
 
         def end():
             self.runner.end("b1")
             ended.append("b1")
 
-        def end_and_take_away(sender, key):
+        def end_and_cancel(sender, key):
             # Due as soon as breaking off lets other tasks run.
             eventlet.spawn(end)
             take(sender, key)
@@ -259,7 +259,9 @@
         self.before_look = lambda: looks.append(list(ended))
         with (
             self.slow("e1"),
-            mock.patch.object(item_sender.ItemSender, "take_away", end_and_take_away),
+            mock.patch.object(
+                item_sender.ItemSender, "cancel_for_move", end_and_cancel
+            ),
             mock.patch.object(item_sender.ItemSender, "send", note_and_send),
         ):
             self.runner.wake()
@@ -362,7 +364,7 @@
         def second():
             while not broken_off:
                 clock.sleep(0)
-            tasks.ended(("b", "i2"))
+            tasks.remove(("b", "i2"))
             ended.append("i2")
 
         tasks.start(("b", "i1"), first, lambda: None)
--- a/tests/test_batches_place_heap.py
+++ b/tests/test_batches_engine_heap.py
@@ -1,4 +1,4 @@
-"""Places are given out to many items at once as if each were compared with each."""
+"""Assignment of many items with heaps equals a comparison of all items and engines."""
 
 import unittest
 
@@ -8,8 +8,7 @@
 
 from bilberrydrum.batches import scheduling
 
-# The engine that each item failed at, its tokens, and the like: few values of each, so
-# that places tie and items meet.
+# Each field has just a few values, so that engines tie and items compete.
 ITEMS = strategies.builds(
     dict,
     group=strategies.integers(0, 4),
@@ -41,7 +40,7 @@
     groups=strategies.sets(strategies.integers(0, 4)),
     has_doubtful=strategies.sampled_from((False, False, True)),
 )
-# Items that all places suit, and which differ in what they need of one.
+# Items that suit all engines and differ only in group, tokens and excluded engines.
 ALIKE_ITEMS = strategies.builds(
     dict,
     group=strategies.integers(0, 4),
@@ -81,7 +80,7 @@
 
 
 def can_take(place, item):
-    """Tell whether a place can take an item, by the rules one by one."""
+    """Return whether an engine can take an item; all rules in their simplest form."""
     version = place.versions_by_model.get(item.model)
     has_version = not item.model or (
         version is not None
@@ -114,8 +113,8 @@
     )
 
 
-def given_one_by_one(items, places):
-    """Return who gets which place if each item is compared with each place."""
+def assigned_one_by_one(items, places):
+    """Return the assignments if each item is compared with each engine."""
     given = []
     for item in items:
         able = [each for each in places if can_take(each, item)]
@@ -135,10 +134,10 @@
         strategies.lists(ITEMS, max_size=25), strategies.lists(PLACES, max_size=10)
     )
     def test_any_mixture(self, item_fields, place_fields):
-        """Items of all kinds meet places that fill.
+        """An item gets a worse engine than the best, or none though a slot is free.
 
-        An item that goes elsewhere than to the best place, or nowhere though a place is
-        free, waits longer than it has to: its whole group and its trainer with it.
+        The item, its group and its trainer then wait longer than necessary. Items of
+        all kinds are assigned to engines that fill up.
         """
         self.check(item_fields, place_fields)
 
@@ -147,11 +146,11 @@
         strategies.lists(ALIKE_ITEMS, min_size=8, max_size=30),
         strategies.lists(ALIKE_PLACES, min_size=3, max_size=6),
     )
-    def test_items_that_vie(self, item_fields, place_fields):
-        """One place is the best for one item after the other, until it is not.
+    def test_items_that_compete(self, item_fields, place_fields):
+        """An engine that one item cannot use is lost for the items after it.
 
-        What one item passes over, as it failed there or needs more memory, is the best
-        place for the next.
+        Many items have the same best engine. One item skips it, because it has failed
+        there or needs more memory, but it is still the best engine for the next item.
         """
         self.check(item_fields, place_fields)
 
@@ -161,17 +160,17 @@
         others = [place_of(n, **fields) for n, fields in enumerate(place_fields)]
         assigned = scheduling.assign(items, places, 0.0)
         given = [(each.key, each.engine_id) for each in assigned]
-        self.assertEqual(given, given_one_by_one(items, others))
+        self.assertEqual(given, assigned_one_by_one(items, others))
         self.assertEqual(places, others)
 
 
 class CountedPlace(scheduling.Place):
-    """A place that counts how often anything of it is looked at."""
+    """An engine that counts each read of any attribute, over all engines."""
 
-    n_looks = 0
+    n_reads = 0
 
     def __getattribute__(self, name):
-        CountedPlace.n_looks += 1
+        CountedPlace.n_reads += 1
         return super().__getattribute__(name)
 
 
@@ -179,23 +178,24 @@
     N_PLACES = 3000
 
     @tools.params(
-        ("places are plenty", {}, {}),
+        ("many free engines", {}, {}),
         ("all in one group", {}, {"group": 0}),
-        ("memories are full", {"n_cache_tokens": 9, "n_tokens": 8}, {"n_tokens": 2}),
+        ("caches are full", {"n_cache_tokens": 9, "n_tokens": 8}, {"n_tokens": 2}),
         ("all failed at the best", {}, {"excluded_ids": frozenset({"e00"})}),
     )
     def test_many_items(self, name, place_fields, item_fields):
-        """Ten times as many items wait before 3,000 engines; all else stands still.
+        """A scheduling pass blocks the process while many items wait.
 
-        One process sends all items and copies all their events. While it looks for
-        places it does nothing else: with each item compared with each place, 600 items
-        took 1.8 s. They cost little more than 60: the places are looked through once.
+        One process sends all items and forwards all their events, and it does nothing
+        else during a scheduling pass. With 3,000 engines and each item compared with
+        each engine, a pass for 600 items took 1.8 s. The engines must be examined once,
+        so that 600 items cost little more than 60.
         """
-        few = self.n_looks(60, place_fields, item_fields)
-        many = self.n_looks(600, place_fields, item_fields)
+        few = self.n_reads(60, place_fields, item_fields)
+        many = self.n_reads(600, place_fields, item_fields)
         self.assertLess(many, 2 * few, name)
 
-    def n_looks(self, n_items, place_fields, item_fields):
+    def n_reads(self, n_items, place_fields, item_fields):
         fields = {"service": "s", "n_slots": 6, "n_running": 1, **place_fields}
         places = [
             CountedPlace(f"e{n:02}", versions_by_model={"m": 1}, **fields)
@@ -206,6 +206,6 @@
             values = {"group": n // 8, **item_fields}
             values.update(model="m", min_version=1, services=frozenset("s"))
             items.append(item_of(n, **values))
-        CountedPlace.n_looks = 0
+        CountedPlace.n_reads = 0
         scheduling.assign(items, places, 0.0)
-        return CountedPlace.n_looks
+        return CountedPlace.n_reads
--- a/tests/test_batches_incarnations.py
+++ b/tests/test_batches_incarnations.py
@@ -1,4 +1,4 @@
-"""An engine that starts again under its name."""
+"""An engine that restarts under the same name."""
 
 import unittest
 
@@ -15,10 +15,11 @@
 
 
 class Incarnations(unittest.TestCase):
-    """An engine crashes while it is told to load, and starts again under its name.
+    """An engine carries out an order that was meant for its previous incarnation.
 
-    It counts its orders anew, so an order that was made for the one before would be
-    carried out by the next. It may also serve other weights than its predecessor did.
+    The engine crashes while it gets an order to load, and restarts under the same name.
+    It counts its orders from 0 again, so the old order could match. The new incarnation
+    may also serve other weight versions than the previous one.
     """
 
     def setUp(self):
@@ -38,36 +39,36 @@
         return [each["announced_id"] for each in self.engine.orders]
 
     @tools.params(
-        ("the same one", 5, 5, ["e"]),
-        ("the next one", 5, 6, []),
-        ("starts are not told", None, None, ["e"]),
+        ("the same incarnation", 5, 5, ["e"]),
+        ("the next incarnation", 5, 6, []),
+        ("starts are not reported", None, None, ["e"]),
         ("an engine that reports no start", 5, None, ["e"]),
     )
     def test_orders(self, name, known_start, reported_start, expected):
         self.assertEqual(self.carry_out(known_start, reported_start), expected, name)
 
-    def test_engine_that_is_gone_meanwhile(self):
+    def test_engine_that_left_meanwhile(self):
         self.assertEqual(self.carry_out(5, 5, is_wanted=False), [])
 
-    def test_the_next_one_is_judged_by_itself(self):
+    def test_next_incarnation_starts_without_failures(self):
         known = engines.Engines()
         services = {"s": policy.Service("s", models=("m",))}
         first = fleet_model.FleetUpstream(
             "e", "s", "a", "z", 2, versions_by_model={"m": 9}, started_at_ms=5
         )
         known.refresh([first], services)
-        known.by_id[first.upstream_id].failed(100.0)
+        known.by_id[first.upstream_id].record_failure(100.0)
         following = attrs.evolve(first, versions_by_model={"m": 8}, started_at_ms=6)
         known.refresh([following], services)
         (engine,) = known.by_id.values()
         self.assertEqual(engine.versions_by_model, {"m": 8})
-        self.assertFalse(engine.is_passed_over(100.1))
+        self.assertFalse(engine.is_excluded(100.1))
 
-    def test_text_goes_on_at_the_next_one(self):
-        """Its streams broke with it; nothing is sent to it any more.
+    def test_item_may_resume_at_the_next_incarnation(self):
+        """An item avoids the new incarnation because its previous attempt broke off.
 
-        The next one has its name and address but is not passed over for its failures,
-        and what it serves is asked anew.
+        The new incarnation has the same name and address, but the item may resume there
+        at once. Nothing is sent to the previous incarnation any more.
         """
         first = fleet_model.FleetUpstream("e", "s", "a", "z", 2, started_at_ms=5)
         following = attrs.evolve(first, started_at_ms=6)
--- a/tests/test_batches_item_crashes.py
+++ b/tests/test_batches_item_crashes.py
@@ -20,7 +20,7 @@
 from nose2 import tools
 
 from bilberrydrum import quarantine
-from tests.fakes import engine_storm
+from tests.fakes import engine_crashes
 
 # Three ends, and three more attempts that may still reach an engine.
 MOST_ENDED = 3 + 3
@@ -29,7 +29,7 @@
 class ItemCrashes(unittest.TestCase):
     def play(self, seed, storm_seconds, n_guilty):
         book = quarantine.Book(is_crowded=True)
-        play = engine_storm.EngineStorm(book, seed, storm_seconds, n_guilty)
+        play = engine_crashes.EngineCrashes(book, seed, storm_seconds, n_guilty)
         play.run()
         return play
 
@@ -53,14 +53,14 @@
         """Engines that end for it or in the storm: three, and three more are borne."""
         for seed in range(n_seeds):
             play = self.play(seed, storm_seconds, n_guilty)
-            self.assertEqual(play.quarantined, play.guilty, seed)
-            for name, n_ended in play.n_ended_by_name.items():
+            self.assertEqual(play.quarantined, play.culprits, seed)
+            for name, n_ended in play.n_crashed_by_name.items():
                 self.assertLessEqual(n_ended, MOST_ENDED, (seed, name))
 
     def test_more_guilty_items_than_engines(self):
         """Engines are down most of the time; the bound holds for each all the same."""
         for seed in range(8):
             play = self.play(seed, 0.0, 8)
-            self.assertLessEqual(play.quarantined, play.guilty, seed)
-            for name, n_ended in play.n_ended_by_name.items():
+            self.assertLessEqual(play.quarantined, play.culprits, seed)
+            for name, n_ended in play.n_crashed_by_name.items():
                 self.assertLessEqual(n_ended, MOST_ENDED, (seed, name))
--- a/tests/test_batches_item_run.py
+++ b/tests/test_batches_item_run.py
@@ -1,4 +1,4 @@
-"""One attempt to run an item: every way an engine may end it."""
+"""One attempt to run an item, and every way in which the answer may end."""
 
 import itertools
 import unittest
@@ -18,12 +18,12 @@
 
 
 def upstream_at(engine):
-    """Return the engine as the registry has it."""
+    """Return the registry's entry of the engine."""
     return fleet_model.FleetUpstream("e", "s", engine.address, "z", 6)
 
 
 class Protocol:
-    """The names that this stand-in speaks."""
+    """The header names that the scripted engine uses."""
 
     request_id_header = ID
     version_field = "version"
@@ -46,9 +46,9 @@
         )
 
 
-def chunked(*parts, is_whole=True):
+def chunked(*parts, is_complete=True):
     body = b"".join(b"%x\r\n%s\r\n" % (len(each), each) for each in parts)
-    return body + (b"0\r\n\r\n" if is_whole else b"")
+    return body + (b"0\r\n\r\n" if is_complete else b"")
 
 
 def answer(body, status=200, headers=("Version: 3",), request_id="i"):
@@ -58,7 +58,7 @@
 
 
 def with_framing(framing, *events):
-    """Return a whole answer whose end is told by `framing`."""
+    """Return a complete answer whose end is marked by `framing`."""
     lines = ["HTTP/1.1 200 OK", f"{ID}: i", "Mark: m", "Version: 3"]
     body = b"".join(events)
     if framing == "chunks":
@@ -79,7 +79,7 @@
 
 
 FRAMINGS = ("chunks", "length", "close")
-# Where an answer ends, and what is read of its events then; None: as many as are due.
+# Where an answer ends, and how many of its events are read then; None for all of them.
 ENDS = {
     "whole": None,
     "after an event": 1,
@@ -90,7 +90,7 @@
 
 
 def up_to(data, end, first):
-    """Return what is sent of an answer that ends at one of ENDS."""
+    """Return the start of the answer `data`, up to one of ENDS."""
     index = {
         "whole": len(data),
         "after an event": data.index(b"id: %d" % (first + 1)),
@@ -138,13 +138,13 @@
 
     @tools.params(
         ("whole", answer(TWO), False),
-        ("cut after an event", answer(chunked(event(1), is_whole=False)), True),
+        ("cut after an event", answer(chunked(event(1), is_complete=False)), True),
         ("no answer", b"", True),
         ("a gap", answer(chunked(event(1), event(3))), False),
         ("impossible", answer(chunked(b"x"), 422), False),
     )
     def test_cut_off(self, name, data, expected):
-        """A connection that ended in the middle may be an engine that crashed."""
+        """A connection that breaks within an answer is reported as a possible crash."""
         self.run_item(data)
         self.assertEqual(self.ended.is_cut_off, expected, name)
 
@@ -152,7 +152,7 @@
         ("whole", answer(TWO), Outcome.COMPLETED, [b"a", b"b"]),
         (
             "cut after an event",
-            answer(chunked(event(1, b"a"), is_whole=False)),
+            answer(chunked(event(1, b"a"), is_complete=False)),
             Outcome.BROKEN,
             [b"a"],
         ),
@@ -165,7 +165,7 @@
         ("no event", answer(chunked()), Outcome.BROKEN, []),
         ("no version", answer(TWO, headers=()), Outcome.BROKEN, []),
         ("a gap", answer(chunked(event(1), event(3))), Outcome.BROKEN, []),
-        ("another's answer", answer(TWO, request_id="j"), Outcome.BROKEN, []),
+        ("answer to another request", answer(TWO, request_id="j"), Outcome.BROKEN, []),
         ("no answer", b"", Outcome.BROKEN, []),
         ("not HTTP", b"garbage\r\n\r\n", Outcome.BROKEN, []),
         ("impossible", answer(chunked(b"x"), 422), Outcome.IMPOSSIBLE, []),
@@ -176,7 +176,7 @@
             Outcome.NOT_RUN,
             [],
         ),
-        ("503 without a promise", answer(chunked(), 503), Outcome.FAILED, []),
+        ("503 that may have run", answer(chunked(), 503), Outcome.FAILED, []),
     )
     def test_outcome(self, name, data, outcome, parts):
         self.assertEqual(self.run_item(data), outcome, name)
@@ -188,14 +188,13 @@
         ("failed", b"HTTP/1.1 500 X\r\n\r\n"),
         ("failed, cut in its head", b"HTTP/1.1 500 X\r\nX-Requ"),
     )
-    def test_refusal_that_names_no_request(self, name, data):
-        """A trainer is told that an item is given up, which no engine has refused.
-
-        An answer comes where the item's answer is due, and its head is cut before the
-        id. It may be an extra one to an earlier request: only the id would tell. Its
-        status was taken for what the engine says of this item: "can't be done" ended
-        the item, and a failure counted against it. Engines name the request in all
-        answers.
+    def test_error_without_a_request_id(self, name, data):
+        """An item is given up although no engine has refused it.
+
+        The head of an answer is truncated before the request id, so it may be a surplus
+        answer to an earlier request on the connection. Its status used to be applied to
+        this item: 422 ended the item, and 500 counted as its failure. Engines send the
+        request id in all answers.
         """
         self.assertEqual(self.run_item(data), Outcome.BROKEN, name)
         self.assertFalse(self.ended.is_cut_off, name)
@@ -215,19 +214,19 @@
         data = answer(chunked(event(1), event(2, b"b", b"4")))
         self.assertEqual(self.run_item(data, bounds=bounds), outcome, name)
 
-    def test_too_old_version_leaves_the_text(self):
-        """The item has gone on elsewhere; what it had is as good as before."""
+    def test_too_old_version_keeps_the_text(self):
+        """An engine with a too old version adds nothing; the text so far is kept."""
         text = texts.Text([b"a"], {5}, 1)
         data = answer(chunked(event(2, b"b")))
         outcome = self.run_item(data, text, bounds=texts.Bounds(4))
         self.assertEqual(outcome, Outcome.WRONG_VERSION)
         self.assertEqual((text.parts, self.ended.version), ([b"a"], 3))
 
-    def test_says_which_version_the_engine_has(self):
-        """An item goes on at an engine that serves an earlier version.
+    def test_result_has_the_engine_s_version(self):
+        """An item is resumed at an engine that serves an earlier version.
 
-        Were the engine taken to serve the latest of the text's versions, it would be
-        sent what it cannot serve.
+        The result must contain the version of this engine's events. With the newest
+        version of the text the engine would get items that it cannot serve.
         """
         text = texts.Text([b"a"], {7}, 1)
         self.assertEqual(
@@ -243,10 +242,12 @@
         self.assertEqual(text.result("i").versions, (2, 3))
 
     def test_resumed_after_the_very_last_event(self):
-        """The batch ends after an item's last event was read, and the item comes again.
+        """A text is resumed although it is complete already, and is resent forever.
 
-        The engine has nothing to add and so names no version; taken for a broken
-        answer, the item would be sent again and again until its time is up.
+        The batch ended after the item's last event was read but before the end of the
+        answer, and the item was submitted again. The engine has no events to add and
+        so sends no version. If the answer counted as broken, the item would be resent
+        until its deadline.
         """
         text = texts.Text([b"a", b"b"], {2}, 2)
         data = answer(chunked(), headers=())
@@ -254,12 +255,12 @@
         self.assertEqual(self.run_item(data, text), Outcome.COMPLETED)
         self.assertEqual(text.result("i").text, b"a\nb")
 
-    def test_one_empty_answer_is_no_end(self):
-        """A trainer reads half of an item's text, listed as completed.
+    def test_one_empty_answer_does_not_complete_a_text(self):
+        """An incomplete text is listed as completed.
 
-        An engine that is asked to go on after event 1 fails before it has made another,
-        and ends its answer in order: `outcome` completed, `asked_after` 1, no event.
-        The next engine has the rest.
+        An engine that is asked to resume after event 1 fails before it generates
+        another one, and ends its answer normally: `outcome` completed, `asked_after` 1,
+        no event. The next engine generates the rest.
         """
         text = texts.Text([b"a"], {3}, 1)
         empty = answer(chunked())
@@ -269,11 +270,11 @@
         self.assertEqual(text.result("i").text, b"a\nb")
 
     def test_empty_answers_between_events(self):
-        """Each event that comes shows that the answer before was no end."""
+        """An event resets the count of empty answers: the text was not complete."""
         text = texts.Text([b"a"], {3}, 1)
         empty = answer(chunked())
         self.assertEqual(self.run_item(empty, text), Outcome.UNCONFIRMED)
-        more = answer(chunked(event(2, b"b"), is_whole=False))
+        more = answer(chunked(event(2, b"b"), is_complete=False))
         self.assertEqual(self.run_item(more, text), Outcome.BROKEN)
         self.assertEqual(self.run_item(empty, text), Outcome.UNCONFIRMED)
 
@@ -287,14 +288,13 @@
         ("and an event", b"HTTP/1.1 200 OK\r\nVersion: 3\r\n\r\n" + event(3)),
         ("not yet due", b"HTTP/1.1 200 OK\r\nVersion: 3\r\n\r\n" + event(1)),
     )
-    def test_answer_without_the_engine_s_mark(self, name, data):
-        """A trainer reads half of an item's text, listed as completed.
-
-        The item's run breaks off after event 2. The next engine is asked to go on, and
-        its answer is damaged: a status line without headers, then the closing of the
-        connection. No event and no error looked like an engine that has nothing to add:
-        `completed`, `asked_after` 51 and 134, `framing` "close", no byte, in two plays.
-        One that has nothing to add bears its mark, in 125 answers of 125.
+    def test_answer_without_a_signature(self, name, data):
+        """An incomplete text is listed as completed.
+
+        The item's run breaks off after event 2. The next engine is asked to resume, and
+        its answer is damaged: a status line without headers, then the connection
+        closes. Without events or an error this looks like an engine that has nothing to
+        add. Genuine answers without events carry the engine's signature (125 of 125).
         """
         text = texts.Text([b"a", b"b"], {2}, 2)
         self.assertEqual(self.run_item(data, text), Outcome.BROKEN, name)
@@ -306,13 +306,14 @@
         ("close", [Outcome.BROKEN, Outcome.BROKEN], []),
         ("no length", [Outcome.BROKEN, Outcome.BROKEN], []),
     )
-    def test_nothing_is_added(self, framing, outcomes, parts):
-        """A result listed as completed has half of its text.
-
-        An engine has sent its answer's head and ends before the first event; its host
-        closes the connection in order. Without a length or chunks this looks like an
-        engine that has nothing to add, and nothing else says how many events are due.
-        So the text begins anew; resumed once more, it could be asked for without end.
+    def test_resumed_answer_without_events(self, framing, outcomes, parts):
+        """An incomplete text is listed as completed.
+
+        An engine sends the head of its answer and crashes before the first event; its
+        host closes the connection normally. Without a length or chunks this looks like
+        an engine that has nothing to add, and nothing else shows how many events are
+        missing. So the text is generated again from the start: if it were resumed once
+        more, the same could happen endlessly.
         """
         text = texts.Text([b"a", b"b"], {2}, 2)
         data = with_framing(framing)
@@ -320,8 +321,8 @@
         self.assertEqual(text.parts, parts)
 
     @tools.params("chunks", "length", "close", "no length")
-    def test_whole_with_any_framing(self, framing):
-        """An answer may have neither a length nor chunks and end with its channel."""
+    def test_complete_with_any_framing(self, framing):
+        """An answer without length and chunks ends when the connection closes."""
         body = event(1, b"a") + event(2, b"b")
         outcome = self.run_item(with_framing(framing, body))
         self.assertEqual((outcome, self.text.parts), (Outcome.COMPLETED, [b"a", b"b"]))
@@ -329,29 +330,33 @@
         self.assertEqual(self.ended.reading.framing, expected)
 
     @tools.params(0, 2, 3)
-    def test_begins_late(self, number):
-        """A result's text lacks its beginning, and is listed as completed.
+    def test_stream_that_starts_late(self, number):
+        """A text that lacks its beginning is listed as completed.
 
-        The item begins, and the answer's first event is not event 1: what came before
-        was lost, or the answer is a part of another one. Any number was taken for the
-        first event of a text that has none. Streams begin with event 1: 1,236 of 1,236
-        in two plays.
+        An item starts, and the first event of the answer is not event 1: earlier events
+        were lost, or the answer is part of another one. Any number used to be accepted
+        as the first event of an empty text. Genuine streams start with event 1 (1,236
+        of 1,236).
         """
         data = answer(chunked(event(number), event(number + 1)))
         self.assertEqual((self.run_item(data), self.text.parts), (Outcome.BROKEN, []))
 
     @tools.params(
         ("cleared", lambda text: text.clear(), 3),
-        ("cleared, and begun", lambda text: text.clear(), 1),
-        ("gone on", lambda text: text.add(event_stream.Event(3, b"y"), 2), 3),
+        ("cleared, and started again", lambda text: text.clear(), 1),
+        (
+            "another run went on",
+            lambda text: text.add(event_stream.Event(3, b"y"), 2),
+            3,
+        ),
         ("and a gap", lambda text: text.add(event_stream.Event(3, b"y"), 2), 4),
     )
     def test_text_that_changes_after_the_request(self, name, change, first):
-        """A text goes on with a run that was not asked to go on after its last event.
+        """A text gets events of a run that did not resume after its last event.
 
-        The engine is asked to go on after event 2. Before it answers, the text changes:
-        it is cleared, or another run adds to it. The answer's first event was compared
-        with the text as it was then, not with what had been asked for.
+        The engine is asked to resume after event 2. Before it answers, the text
+        changes: it is cleared, or another run appends to it. The first event of the
+        answer used to be compared with the changed text instead of the request.
         """
         text = texts.Text([b"a", b"b"], {2}, 2)
         data = answer(chunked(event(first, b"c"), event(first + 1, b"d")))
@@ -359,20 +364,21 @@
         self.assertEqual((outcome, text.parts), (Outcome.BROKEN, []), name)
 
     @tools.params(
-        ("nothing is added", (), [3]),
-        ("begun anew elsewhere", (), [None, 1]),
-        ("one is added", (3,), [4]),
+        ("no event is added", (), [3]),
+        ("started again elsewhere", (), [None, 1]),
+        ("one event is added", (3,), [4]),
     )
     def test_text_that_changes_before_the_end(self, name, numbers, changes):
-        """A result listed as completed has another text than its run gave.
+        """A completed result has a different text than its run generated.
 
-        The engine is asked to go on after event 2 and ends its answer whole. The text
-        has changed meanwhile, so that the end of the answer is not the end of the text.
+        The engine is asked to resume after event 2 and completes its answer. The text
+        has changed in the meantime, so the end of the answer is not the end of the
+        text.
         """
         text = texts.Text([b"a", b"b"], {2}, 2)
 
         def serve(connection, received):
-            head = answer(chunked(*map(event, numbers), is_whole=False))
+            head = answer(chunked(*map(event, numbers), is_complete=False))
             connection.sendall(head)
             while text.last_number != 2 + len(numbers):
                 eventlet.sleep(0.001)
@@ -387,16 +393,16 @@
         self.assertEqual(self.run_script(serve, text), Outcome.BROKEN, name)
         self.assertEqual(text.parts, [], name)
 
-    def test_two_runs_that_go_on_by_turns(self):
-        """A text has an event of another run where one of its own is due, or twice.
+    def test_two_runs_that_alternate(self):
+        """A text contains an event of another run, or one event twice.
 
-        While a run's events come, another run adds to the same text. Each run sees its
-        own events in order, so only the text can tell.
+        While events of one run arrive, another run appends to the same text. Each run
+        sees its own events in order, so only the text can detect this.
         """
         text = texts.Text([b"a"], {2}, 1)
 
         def serve(connection, received):
-            head = answer(chunked(event(2, b"b"), is_whole=False))
+            head = answer(chunked(event(2, b"b"), is_complete=False))
             connection.sendall(head)
             while text.last_number != 2:
                 eventlet.sleep(0.001)
@@ -409,11 +415,12 @@
         self.assertIn("event 3", self.ended.detail)
 
     @tools.params(*itertools.product(FRAMINGS, ENDS, (False, True)))
-    def test_every_end(self, framing, end, is_resumed):
-        """Only a whole answer makes a whole text.
+    def test_answer_that_ends_anywhere(self, framing, end, is_resumed):
+        """An incomplete text is listed as completed after an answer that broke off.
 
-        One case can't be told: an answer that ends by closing, closed in order between
-        two events by an engine that ends. Nothing says how many events are due.
+        The answer ends at each possible place, for each framing. One case can't be
+        detected: an answer that is delimited by the close of the connection, which a
+        crashing engine closes normally between two events.
         """
         text = texts.Text([b"a"], {3}, 1) if is_resumed else texts.Text()
         first = 2 if is_resumed else 1
@@ -421,9 +428,9 @@
         parts = [b"a", b"b", b"c", b"d"]
         data = up_to(with_framing(framing, *due), end, first)
         outcome = self.run_item(data, text)
-        can_be_told = (framing, end) != ("close", "after an event")
-        is_whole = end == "whole" or not can_be_told
-        self.assertEqual(outcome, Outcome.COMPLETED if is_whole else Outcome.BROKEN)
+        is_detectable = (framing, end) != ("close", "after an event")
+        is_complete = end == "whole" or not is_detectable
+        self.assertEqual(outcome, Outcome.COMPLETED if is_complete else Outcome.BROKEN)
         n_read = ENDS[end]
         if n_read is not None:
             parts = parts[: first - 1 + n_read]
@@ -432,7 +439,7 @@
             parts = []
         self.assertEqual(text.parts, parts)
 
-    def test_resumed_at_another_place(self):
+    def test_answer_that_repeats_an_event(self):
         text = texts.Text([b"a"], {2}, 1)
         outcome = self.run_item(answer(chunked(event(1, b"a"))), text)
         self.assertEqual((outcome, text.parts), (Outcome.BROKEN, []))
@@ -444,10 +451,10 @@
         self.assertEqual(self.engine.received, [])
 
     def test_unreachable(self):
-        """A crashed engine's address refuses connections.
+        """The address of a crashed engine refuses connections.
 
-        Taken for an engine that is full, it would be tried again every few hundredths
-        of a second.
+        If the engine counted as full, it would be tried again every few hundredths of a
+        second.
         """
         engine = scripted.Scripted(lambda c, r: False, kind=upstream_model.KIND_ENGINE)
         engine.stop()
@@ -463,6 +470,6 @@
         ended = item_run.carry_out(means, Protocol(), upstream_at(engine), run, 5.0)
         self.assertEqual(ended.outcome, Outcome.UNREACHABLE)
 
-    def test_nothing_is_added_beyond_the_stream(self):
+    def test_reader_continues_after_an_event(self):
         reader = event_stream.EventReader("version", 1)
         self.assertEqual(reader.feed(event(2))[0].number, 2)
--- a/tests/test_batches_look.py
+++ b/tests/test_batches_look.py
@@ -223,7 +223,7 @@
         self.change(*(upstream(n) for n in range(n_engines)))
         self.look()
         for number, engine in enumerate(self.runner._engines.by_id.values()):
-            engine.note_pause(0.03 + number % 7 / 1000, clock.now())
+            engine.record_pause(0.03 + number % 7 / 1000, clock.now())
         events = collections.Counter()
         sys.setprofile(lambda frame, event, argument: events.update((event,)))
         try:
--- a/tests/test_batches_score_sender.py
+++ b/tests/test_batches_score_sender.py
@@ -1,4 +1,4 @@
-"""Scoring requests as they are sent: answers, ends, bursts and places."""
+"""Sending of scoring requests: answers, cancellation, bursts and reserved slots."""
 
 import random
 import unittest
@@ -29,11 +29,11 @@
 
 ID = "X-Request-Id"
 Stage = lifecycle.Stage
-Verdict = scoring.Verdict
+Decision = scoring.Decision
 
 
 class Protocol:
-    """The names that this stand-in speaks."""
+    """The header names that the scripted service uses."""
 
     request_id_header = ID
 
@@ -84,7 +84,7 @@
         "score",
         "h",
         "/s/",
-        # May run once only, but for requests whose sender knows better.
+        # Requests may run just once, except if the sender sets `may_run_again`.
         policy.RouteKind.NON_IDEMPOTENT,
         (policy.Share("apps", 1.0),),
         timeout_seconds=0.6,
@@ -96,7 +96,7 @@
 
 
 class View:
-    """Stands for a store's copy of the registry and the policy."""
+    """A stand-in for a store's copy of the registry and the policy."""
 
     def __init__(self, servers, n_slots):
         self.registry = fleet_model.Registry(
@@ -115,7 +115,7 @@
 
 
 class SenderCase(unittest.TestCase):
-    """Real requests on loopback, the service's answers by script."""
+    """Real requests on loopback, with scripted answers of the service."""
 
     def begin(self, *scripts, n_items=1, n_slots=2):
         self.servers = []
@@ -128,7 +128,9 @@
         rng = random.Random(1)
         balancer = balancing.Balancer("z", rng)
         crashes = crash_watch.CrashWatch(self.view, None)
-        passing_on = relay.Relay(Protocol(), self.view, means, balancer, rng, crashes)
+        request_relay = relay.Relay(
+            Protocol(), self.view, means, balancer, rng, crashes
+        )
         self.scored, self.finished, self.may_send = [], [], True
         given = hooks.Hooks(
             finish=lambda batch_id, each: self.finished.append(each),
@@ -140,7 +142,7 @@
             holder="me",
         )
         self.sender = score_sender.ScoreSender(
-            passing_on, self.view, given, urgency.Pace(), lambda: None
+            request_relay, self.view, given, urgency.Pace(), lambda: None
         )
         self.addCleanup(self.sender.stop)
         kept = model.KeptBatch.of(test_batches_scoring.batch(n_items=n_items), 0.0)
@@ -165,7 +167,7 @@
 
 
 class Answers(SenderCase):
-    """Each way in which the service may answer, and what becomes of the item."""
+    """Each way in which the service may answer, and the resulting state of the item."""
 
     @tools.params(
         ("at once", (OK,)),
@@ -174,7 +176,7 @@
         ("closed, then elsewhere", (close, OK)),
         ("silent, then elsewhere", (hang, OK)),
         ("not signed, then elsewhere", (UNSIGNED, OK)),
-        ("another's answer, then elsewhere", (OTHERS, OK)),
+        ("answer to another request, then elsewhere", (OTHERS, OK)),
         ("an answer and more bytes", (SURPLUS,)),
     )
     def test_scored(self, name, scripts):
@@ -188,17 +190,18 @@
 
     @tools.params(
         ("not signed", UNSIGNED),
-        ("names no request", UNNAMED),
-        ("another's answer", OTHERS),
+        ("without a request id", UNNAMED),
+        ("answer to another request", OTHERS),
         ("cannot be done", answer(422)),
         ("always full", FULL),
         ("always closed", close),
     )
     def test_never_a_score(self, name, script):
-        """The service never gives a sound answer to this very request.
+        """A trainer gets a score that no service has given.
 
-        Taken for a score, or for a reason to give up, the trainer would learn from a
-        mark that nobody has given; the item waits and is asked for again.
+        The service never gives a valid answer to this request. Its answers must neither
+        count as a score nor end the item: the item waits, and the request is retried at
+        a limited rate.
         """
         self.begin(script)
         self.run_for(0.8)
@@ -209,9 +212,10 @@
 
     @tools.params(1, 2, 3)
     def test_failures_are_counted_over_all_upstreams(self, n_upstreams):
-        """Each upstream fails at the same request, as a few requests always do.
+        """A request that fails at each upstream is retried too often.
 
-        The route allows three failures; more would only keep places from others.
+        The route allows three failures in total; further attempts would only occupy
+        slots that other requests need.
         """
         self.begin(*[FAILED] * n_upstreams)
         self.run_for(5.0, lambda: self.finished)
@@ -222,8 +226,8 @@
         self.assertEqual(self.scored, [])
 
 
-class Ends(SenderCase):
-    """A scoring request ends with its batch, its leader and its time."""
+class Endings(SenderCase):
+    """Scoring requests that are cancelled, must not be sent, or have no route."""
 
     def test_batch_ends(self):
         self.begin(hang, n_items=4, n_slots=3)
@@ -242,10 +246,11 @@
         self.run_for(0.3)
         self.assertEqual(self.n_received(), 0)
 
-    def test_cancelled_before_its_first_turn(self):
-        """A batch ends in the very turn in which its request was to go out.
+    def test_cancelled_before_it_was_scheduled(self):
+        """A slot leaks, and all later requests have one slot less.
 
-        Left taken, the place would be missing to all later requests.
+        A batch ends after the task of its scoring request was created, but before the
+        task was scheduled, so none of the task's code runs to release the slot.
         """
         self.begin(OK, n_items=1, n_slots=2)
         self.step()
@@ -275,11 +280,11 @@
 
 
 class Burst(SenderCase):
-    def test_places_stay_free(self):
-        """Forty texts end together before two upstreams of four places.
+    def test_slots_stay_free(self):
+        """Look-ups wait for scoring requests that occupy all slots of a service.
 
-        Look-ups go there as well. With all places taken each of them would wait for a
-        scoring request to end; one place at each upstream stays free.
+        Forty texts are completed at the same time, for two upstreams with four slots
+        each. One slot at each upstream must stay free for the look-ups.
         """
         running = [0, 0]
         most = [0, 0]
@@ -301,10 +306,10 @@
 
 
 class Tasks(unittest.TestCase):
-    """Work that is broken off gives back what it had taken."""
+    """Cancelled tasks release their resources."""
 
-    @tools.params(("before its first turn", False), ("in the middle", True))
-    def test_cancel(self, name, has_begun):
+    @tools.params(("before it was scheduled", False), ("in the middle", True))
+    def test_cancel(self, name, has_started):
         ended = []
         tasks = item_tasks.ItemTasks()
 
@@ -318,7 +323,7 @@
                 on_end()
 
         tasks.start(("b", "i"), work_on, on_end)
-        if has_begun:
+        if has_started:
             eventlet.sleep(0)
         tasks.cancel_batch("b")
         eventlet.sleep(0)
--- a/tests/test_batches_scoring.py
+++ b/tests/test_batches_scoring.py
@@ -1,4 +1,4 @@
-"""Scoring: what is kept of a whole text, who is scored first, what an answer means."""
+"""Scoring: stored state of complete texts, order of requests, handling of answers."""
 
 import unittest
 
@@ -18,7 +18,7 @@
 
 ID = "X-Request-Id"
 Stage = lifecycle.Stage
-Verdict = scoring.Verdict
+Decision = scoring.Decision
 
 
 def request(item_id, request_id=""):
@@ -46,10 +46,11 @@
 
 
 class Kept(unittest.TestCase):
-    """What the stores' group keeps between a whole text and its score.
+    """What the state group stores between the completion of a text and its score.
 
-    The leader dies after an item's last event. The next one has only what the group
-    keeps: it must have the text scored, generate it no second time, and list it once.
+    The leader crashes after an item's last event. The next leader has only the
+    replicated state: it must have the text scored, must not generate it again, and must
+    list it once.
     """
 
     def setUp(self):
@@ -92,9 +93,10 @@
         self.assertEqual(self.listed(), [])
 
     def test_scored_by_two_leaders(self):
-        """Two leaders in turn have the same text scored; a reader may know the first.
+        """A result changes or is listed twice after a change of leader.
 
-        Neither the second score nor a second text may change or double the result.
+        Two leaders have the same text scored one after the other, and a reader may have
+        read the first result already. A second score or text must have no effect.
         """
         self.keep_text()
         self.score()
@@ -109,13 +111,13 @@
         self.score()
         self.assertEqual(self.listed(), [("i0", b"", "")])
 
-    def test_late_progress_does_not_replace_a_whole_text(self):
+    def test_late_progress_does_not_replace_a_complete_text(self):
         self.keep_text()
         progress = model.Progress("i0", (b"a",), (1,), 1)
         self.apply(commands.SaveProgress("b", (progress,)))
         self.assertEqual(self.kept().progress_by_item_id, {})
 
-    def test_nothing_is_kept_after_the_end(self):
+    def test_nothing_is_kept_after_the_batch_ends(self):
         self.keep_text()
         self.apply(commands.EndBatch("b"))
         self.assertEqual(self.kept().unscored_by_item_id, {})
@@ -145,13 +147,13 @@
         self.assertEqual(self.listed(), [("i0", b"a\nb", "mark")])
 
 
-class Course(unittest.TestCase):
-    """An item's stages, and what leads where."""
+class Stages(unittest.TestCase):
+    """The stages of an item and the transitions between them."""
 
     def run_of(self, **fields):
         return lifecycle.ItemRun(batch().items[0], ("b", "g"), **fields)
 
-    def test_whole_way(self):
+    def test_all_stages(self):
         run = self.run_of()
         run.text.add(event_stream.Event(1, b"a"), 1)
         run.begin_generating("e")
@@ -171,7 +173,7 @@
         ("text comes", lambda run: run.take_whole_text(text_of())),
         ("scoring ends", lambda run: run.end_scoring()),
     )
-    def test_nothing_leads_out_of_the_end(self, name, event):
+    def test_finished_is_final(self, name, event):
         run = self.run_of()
         run.finish()
         event(run)
@@ -185,7 +187,7 @@
 
 
 class Carried(unittest.TestCase):
-    """Groups that were not complete come again in a later batch."""
+    """Groups that were not complete are submitted again in a later batch."""
 
     def carry(self, later, has_score):
         known = work.Work()
@@ -208,7 +210,7 @@
         ("too old", batch("b2", min_version=3), True, Stage.WAITING, []),
         ("too old, not scored", batch("b2", min_version=3), False, Stage.WAITING, []),
     )
-    def test_whole_text(self, name, later, has_score, stage, scores):
+    def test_complete_text(self, name, later, has_score, stage, scores):
         self.assertEqual(self.carry(later, has_score), (stage, scores), name)
 
 
@@ -217,12 +219,13 @@
 
 
 class Choice(unittest.TestCase):
-    """Sixty texts end within a tenth of a second before a service of 18 places."""
+    """The choice of texts to score when more wait than the service has free slots."""
 
     def test_order(self):
-        """Group x lacks one score and group y five, z is one that nobody waits for.
+        """A trainer waits too long for its first complete groups.
 
-        By turns all three would become whole at the end; the trainer needs x now.
+        Group x lacks one score, group y five, and nobody waits for group z. If they
+        were scored in turns, all three would be complete only at the end.
         """
         given = [
             unscored("z0", 1, is_spare=True),
@@ -240,12 +243,12 @@
 
     @tools.params(
         ("three of six", (6, 6, 6), 15),
-        ("one place each", (1, 1), 2),
-        ("nothing told", (0,), 1),
-        ("nobody there", (), 0),
+        ("one slot each", (1, 1), 2),
+        ("slots not reported", (0,), 1),
+        ("no upstreams", (), 0),
     )
     def test_places(self, name, slots, expected):
-        self.assertEqual(scoring.n_places(slots), expected, name)
+        self.assertEqual(scoring.max_concurrent(slots), expected, name)
 
 
 def answered(status, n_failures=0):
@@ -257,21 +260,21 @@
     return relay_model.Refused(reason, n_failures > 0, n_failures=n_failures)
 
 
-class Verdicts(unittest.TestCase):
-    """What an answer means, by who gave it and what was before."""
+class Decisions(unittest.TestCase):
+    """The decision after an answer, by its origin and the failures so far."""
 
     @tools.params(
-        ("signed", answered(200), True, 0, Verdict.SCORED),
-        ("after failures", answered(200, 2), True, 3, Verdict.SCORED),
-        ("not signed", answered(200), False, 0, Verdict.AGAIN_LATER),
-        ("failed once", answered(500, 1), True, 1, Verdict.AGAIN),
-        ("failed thrice", answered(500, 1), True, 3, Verdict.GIVEN_UP),
-        ("cannot be done", answered(422), True, 0, Verdict.AGAIN_LATER),
-        ("cannot, after failures", answered(404), True, 3, Verdict.AGAIN_LATER),
-        ("turned away", refused(), False, 0, Verdict.AGAIN),
-        ("lost, failed before", refused(1), False, 2, Verdict.AGAIN),
-        ("lost, failed thrice", refused(1), False, 3, Verdict.GIVEN_UP),
+        ("signed", answered(200), True, 0, Decision.SCORED),
+        ("after failures", answered(200, 2), True, 3, Decision.SCORED),
+        ("not signed", answered(200), False, 0, Decision.RETRY_LATER),
+        ("failed once", answered(500, 1), True, 1, Decision.RETRY),
+        ("failed three times", answered(500, 1), True, 3, Decision.GIVEN_UP),
+        ("cannot be done", answered(422), True, 0, Decision.RETRY_LATER),
+        ("cannot, after failures", answered(404), True, 3, Decision.RETRY_LATER),
+        ("rejected as busy", refused(), False, 0, Decision.RETRY),
+        ("lost, failed before", refused(1), False, 2, Decision.RETRY),
+        ("lost, failed three times", refused(1), False, 3, Decision.GIVEN_UP),
     )
-    def test_judge(self, name, answer, is_own, n_failures, expected):
-        given = scoring.judge(answer, is_own, n_failures, max_attempts=3)
+    def test_decide(self, name, answer, is_signed, n_failures, expected):
+        given = scoring.decide(answer, is_signed, n_failures, max_attempts=3)
         self.assertIs(given, expected, name)
--- a/tests/test_batches_shares.py
+++ b/tests/test_batches_shares.py
@@ -1,4 +1,4 @@
-"""How many engines each model has, and which."""
+"""The assignment of engines to models."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class Shares(unittest.TestCase):
-    """Engines follow the demand, and stay where they are while it hardly changes."""
+    """Shares follow the demand, and stay unchanged while it hardly changes."""
 
     ENGINES = ("e1", "e2", "e3", "e4", "e5")
 
@@ -32,7 +32,7 @@
         )
         self.assertEqual(shares.models_of("e1"), ["a", "b"])
 
-    def test_stays_while_demand_hardly_changes(self):
+    def test_unchanged_while_demand_hardly_changes(self):
         first = engine_shares.divide(
             self.ENGINES, {"a": 40.0, "b": 60.0}, engine_shares.Shares()
         )
@@ -41,7 +41,7 @@
         third = engine_shares.divide(self.ENGINES, {"a": 90.0, "b": 10.0}, first)
         self.assertNotEqual(third, first)
 
-    def test_lost_engine_is_replaced_only_where_it_was(self):
+    def test_lost_engine_changes_only_its_model(self):
         first = engine_shares.divide(
             self.ENGINES, {"a": 40.0, "b": 60.0}, engine_shares.Shares()
         )
--- a/tests/test_batches_slow_engines.py
+++ b/tests/test_batches_slow_engines.py
@@ -1,4 +1,4 @@
-"""What is held to be slow, and what becomes of the items there."""
+"""Detection of slow engines, and what happens to the items that run there."""
 
 import random
 import statistics
@@ -21,7 +21,7 @@
 
 
 class SlowEngine(unittest.TestCase):
-    """An engine turns slow in the middle of its streams."""
+    """An engine becomes slow while it sends streams."""
 
     def engines(self, paces, age=0.0):
         known = engines.Engines()
@@ -29,7 +29,7 @@
             upstream = fleet_model.FleetUpstream(engine_id, "s", "a", "z", 2)
             known.by_id[engine_id] = engines.Engine(upstream)
             for n in range(100):
-                known.by_id[engine_id].note_pause(pace, 100.0 - age + n / 1000)
+                known.by_id[engine_id].record_pause(pace, 100.0 - age + n / 1000)
         return known
 
     @tools.params(
@@ -48,7 +48,7 @@
         self.assertEqual(self.engines(paces, age).slow_ids(100.1), expected, name)
 
     def test_slow_among_many(self):
-        """Drawn paces: slow is who is slower than the others' median by the factor."""
+        """Random paces: the result equals a direct comparison with the median."""
         rng = random.Random(11)
         for n_engines in [2, 3, 4, 5] * 20 + [300, 301]:
             drawn = rng.choices([0.02, 0.03, 0.05, 0.1, 0.3], k=n_engines)
@@ -56,7 +56,7 @@
             for number, pace in enumerate(drawn):
                 upstream = fleet_model.FleetUpstream(str(number), "s", "a", "z", 2)
                 known.by_id[str(number)] = engines.Engine(
-                    upstream, pace_seconds=pace, paced_at=100.0
+                    upstream, pace_seconds=pace, pace_updated_at=100.0
                 )
             expected = {
                 str(number)
@@ -68,27 +68,28 @@
             self.assertEqual(known.slow_ids(100.1), expected, drawn)
 
     def test_slow_engine_is_tried_with_one_item(self):
-        """All items were moved away from a slow engine, so its pace is not known.
+        """A slow engine delays a dozen items each time it is tried again.
 
-        Given all its places again, it would hold up a dozen items at each try.
+        All items were moved away from the engine, so its pace is not known any more. It
+        must be tried with one item, until its pace is normal again.
         """
         known = self.engines({"a": 0.15, "b": 0.03, "c": 0.04})
         known.slow_ids(100.1)
         shares = engine_shares.Shares()
         self.assertEqual(known.slow_ids(110.0), frozenset())
-        self.assertEqual(known.by_id["a"].place(shares).n_slots, 1)
-        self.assertEqual(known.by_id["b"].place(shares).n_slots, 2)
+        self.assertEqual(known.by_id["a"].capacity(shares).n_slots, 1)
+        self.assertEqual(known.by_id["b"].capacity(shares).n_slots, 2)
         for n in range(60):
-            known.by_id["a"].note_pause(0.04, 110.0 + n / 100)
-            known.by_id["b"].note_pause(0.04, 110.0 + n / 100)
+            known.by_id["a"].record_pause(0.04, 110.0 + n / 100)
+            known.by_id["b"].record_pause(0.04, 110.0 + n / 100)
         known.slow_ids(110.7)
-        self.assertEqual(known.by_id["a"].place(shares).n_slots, 2)
+        self.assertEqual(known.by_id["a"].capacity(shares).n_slots, 2)
 
-    def test_belief_in_a_version_is_corrected(self):
-        """An engine is believed to serve version 3 and answers under version 2.
+    def test_known_version_is_corrected(self):
+        """An engine is recorded with version 3 but answers under version 2.
 
-        Left at that, items that ask for 3 would be sent there again and again, and it
-        would not be told to load.
+        If the record were not corrected, items that require version 3 would be sent
+        there again and again, and the engine would not be ordered to load it.
         """
         engine = self.engines({"a": 0.04}).by_id["a"]
         engine.learn_version("m", 3)
@@ -97,16 +98,17 @@
         engine.correct_version("m", 2)
         self.assertEqual(engine.versions_by_model, {"m": 2})
 
-    def test_a_load_is_no_sign_of_slowness(self):
+    def test_load_does_not_make_an_engine_slow(self):
         known = self.engines({"a": 0.04, "b": 0.04})
         known.by_id["a"].loading = weight_plan.Load("a", "m", 2)
-        known.by_id["a"].note_pause(1.2, 100.1)
+        known.by_id["a"].record_pause(1.2, 100.1)
         self.assertEqual(known.slow_ids(100.1), frozenset())
 
     def test_items_move_where_there_is_room(self):
-        """A slow engine holds items of every group; two places are free elsewhere.
+        """Items stay at a slow engine, take four times as long and delay their trainer.
 
-        Left there, they would take four times as long and hold up their trainer.
+        The slow engine runs items of several groups, and two run slots are free at
+        another engine.
         """
         items = [waiting(each, is_at_slow=True) for each in ("x", "y", "z")]
         places = [place("slow", 9, is_slow=True), place("e2", 4, n_running=2)]
@@ -114,14 +116,17 @@
         self.assertEqual(moved, ["e2", "e2"])
 
     @tools.params(
-        ("the one at the slow engine is more urgent", 1.0, 2.0, "slow"),
-        ("the one that waits is more urgent", 2.0, 1.0, "waits"),
+        ("the item at the slow engine is more urgent", 1.0, 2.0, "slow"),
+        ("the waiting item is more urgent", 2.0, 1.0, "waits"),
     )
-    def test_items_at_slow_engines_go_by_the_time_left(self, name, slow, waits, first):
-        """Two fifths of the engines are slow, and items wait for each place elsewhere.
-
-        Moved only to places that nobody waits for, a long item stays where it takes six
-        times as long; its trainer, which waits for it, misses its next steps.
+    def test_items_at_slow_engines_are_ordered_by_time_left(
+        self, name, slow, waits, first
+    ):
+        """An item stays at a slow engine, takes six times as long, delays its trainer.
+
+        Two fifths of the engines are slow, and waiting items compete for the run slots
+        of the others. If items were moved only to slots that nobody waits for, a long
+        item would never move, and its trainer would miss its next steps.
         """
         items = [
             waiting("slow", start_by=slow, is_at_slow=True),
@@ -131,10 +136,11 @@
         given = scheduling.assign(items, places, 0.0)
         self.assertEqual([each.key[1] for each in given], [first], name)
 
-    def test_engine_that_failed_is_passed_over_for_a_while_only(self):
-        """The one engine that serves a version fails once.
+    def test_failed_engine_is_excluded_for_a_limited_time(self):
+        """Items wait until their deadline although an engine could run them.
 
-        Passed over for good, the items would wait until their time is up.
+        The only engine that serves a version has failed once. It must not be excluded
+        forever.
         """
         run = lifecycle.ItemRun(batches_support.batch().items[0], ("b", "g0"))
         run.exclude("e", 100.0)
--- a/tests/test_batches_weight_cost.py
+++ b/tests/test_batches_weight_cost.py
@@ -1,4 +1,4 @@
-"""The plan of loads before many engines: the same loads, at a fraction of the cost."""
+"""The cost of planning loads for many engines, and equality with a simple planner."""
 
 import unittest
 
@@ -11,23 +11,23 @@
 
 MODELS = ("m", "o")
 NEWEST = 3
-# The step waits, so that engines that are too old for it load, and no others.
+# Items wait, so only the engines that are too old for the step load.
 WANTED = weight_plan.Wanted(NEWEST, lag=0, age_seconds=0.1, has_waiting=True)
 ENGINES = strategies.builds(
     dict,
     versions=strategies.fixed_dictionaries(
         {}, optional={each: strategies.integers(1, NEWEST) for each in MODELS}
     ),
-    # Where there are few engines, some belong to several models.
+    # If there are few engines, some are assigned to several models.
     models=strategies.sets(strategies.sampled_from(MODELS)),
     is_loading=strategies.sampled_from((False, False, False, True)),
     n_running=strategies.integers(0, 2),
-    is_there=strategies.sampled_from((True, True, True, False)),
+    is_present=strategies.sampled_from((True, True, True, False)),
 )
 
 
 def loads_one_by_one(given, shares, max_loading):
-    """Return the loads if the mates of each engine are counted anew for each load."""
+    """Return the loads by counting all engines of the model again for each load."""
     by_id = {each.upstream_id: each for each in given}
     needs = [
         (each.versions_by_model[model], each.n_running, each.upstream_id, number, model)
@@ -38,12 +38,12 @@
     ]
     loads = []
     for _, _, engine_id, _, model in sorted(needs):
-        begun = {each[0] for each in loads}
-        is_busy = by_id[engine_id].is_loading or engine_id in begun
+        started = {each[0] for each in loads}
+        is_busy = by_id[engine_id].is_loading or engine_id in started
         n_all = sum(each.is_loading for each in given) + len(loads)
-        mates = [by_id[each] for each in shares[model] if each in by_id]
-        n_mates = sum(e.is_loading or e.upstream_id in begun for e in mates)
-        is_half = n_mates > 0 and n_mates + 1 > len(mates) // 2
+        peers = [by_id[each] for each in shares[model] if each in by_id]
+        n_peers = sum(e.is_loading or e.upstream_id in started for e in peers)
+        is_half = n_peers > 0 and n_peers + 1 > len(peers) // 2
         if n_all < max_loading and not is_busy and not is_half:
             loads.append((engine_id, model))
     return loads
@@ -53,10 +53,11 @@
     @hypothesis.settings(derandomize=True, max_examples=500, deadline=None)
     @hypothesis.given(strategies.lists(ENGINES, max_size=12), strategies.integers(0, 8))
     def test_loads(self, fields, max_loading):
-        """Engines of one or two models, some of them gone, are behind.
+        """Too many engines load at once, or too few.
 
-        Were too many to load at once, nobody would serve the step; were too few, the
-        next version would come before the last engine has this one.
+        With too many no engine serves the step. With too few the next version is
+        announced before the last engine has this one. Engines of one or two models are
+        behind, and some are unavailable.
         """
         known = [engine(n, **each) for n, each in enumerate(fields)]
         pairs = list(zip(known, fields, strict=True))
@@ -64,7 +65,7 @@
             model: frozenset(e.upstream_id for e, f in pairs if model in f["models"])
             for model in MODELS
         }
-        given = [e for e, f in pairs if f["is_there"]]
+        given = [e for e, f in pairs if f["is_present"]]
         wanted = dict.fromkeys(MODELS, WANTED)
         loads = weight_plan.plan(given, shares, wanted, max_loading)
         planned = [(each.engine_id, each.model) for each in loads]
@@ -82,31 +83,32 @@
 
 
 class CountedEngine(engines.Engine):
-    """An engine that counts how often any is asked whether it loads."""
+    """An engine that counts the uses of `is_loading` over all engines."""
 
-    n_asked = 0
+    n_checks = 0
 
     @property
     def is_loading(self):
-        CountedEngine.n_asked += 1
+        CountedEngine.n_checks += 1
         return super().is_loading
 
 
 class Cost(unittest.TestCase):
     @tools.params(
-        ("all begin at once", 0, 300),
-        ("half of them load", 150, 300),
+        ("all may start at once", 0, 300),
+        ("half of them are loading", 150, 300),
         ("no more may load", 150, 150),
     )
     def test_many_loads(self, name, n_loading, max_loading):
-        """500 loads come due together before 3,000 engines; all else stands still.
+        """A scheduling pass blocks the process while many loads are due.
 
-        For each load all engines of its model were asked whether they load: 0.27 s a
-        look, and more where half of them loaded already and none could begin.
+        The planner used to check all engines of the model again for each load. With
+        3,000 engines and 500 due loads this took 0.27 s in each scheduling pass, and
+        more if half of the engines were loading already and no load could start.
         """
         given = [engine(n, {"m": 1}, is_loading=n < n_loading) for n in range(300)]
         shares = {"m": frozenset(each.upstream_id for each in given)}
-        CountedEngine.n_asked = 0
+        CountedEngine.n_checks = 0
         loads = weight_plan.plan(given, shares, {"m": WANTED}, max_loading)
         self.assertEqual(len(loads), 150 - n_loading, name)
-        self.assertLessEqual(CountedEngine.n_asked, 3 * len(given), name)
+        self.assertLessEqual(CountedEngine.n_checks, 3 * len(given), name)
--- a/tests/test_batches_weight_plan.py
+++ b/tests/test_batches_weight_plan.py
@@ -1,4 +1,4 @@
-"""Which engines load weights, and when."""
+"""The plan of weight loads: which engines load, and when."""
 
 import unittest
 
@@ -23,7 +23,7 @@
 
 
 class Plan(unittest.TestCase):
-    """A few engines load at a time, and half of a model's go on serving."""
+    """A few engines load at a time, and half of a model's engines keep serving."""
 
     @tools.params(
         ("all behind", [("a", 1, 0), ("b", 1, 0), ("c", 1, 0), ("d", 1, 0)], 2),
@@ -58,7 +58,7 @@
         return {each.engine_id for each in loads}
 
     @tools.params(
-        ("the step just came", {"a": 3, "b": 3, "c": 4, "d": 4}, {}, {"a", "b"}),
+        ("the step has just arrived", {"a": 3, "b": 3, "c": 4, "d": 4}, {}, {"a", "b"}),
         ("all serve it", {"a": 4, "b": 4, "c": 4, "d": 4}, {}, set()),
         ("later", {"a": 4, "b": 4, "c": 4, "d": 4}, {"age_seconds": 1.6}, {"a", "b"}),
         (
@@ -71,26 +71,27 @@
         ("one engine", {"a": 4}, {"age_seconds": 9.0}, set()),
         ("one engine, too old", {"a": 3}, {}, {"a"}),
     )
-    def test_put_off(self, name, versions, changes, expected):
-        """A trainer names version 5 and hands in a step that allows 4.
+    def test_deferred_loads(self, name, versions, changes, expected):
+        """A trainer announces version 5 and submits a step that allows version 4.
 
-        What cannot serve the step loads at once; engines that can are left to it, but
-        half of them load before the next version is named.
+        Engines that cannot serve the step load at once. The others serve it first, but
+        half of them load before the next version is announced.
         """
         wanted = attrs.evolve(LAGGING, **changes)
         self.assertEqual(self.loaded(versions, wanted), expected, name)
 
     @tools.params((True, set()), (False, {"b"}))
-    def test_idle_engine_is_renewed(self, has_waiting, expected):
+    def test_idle_engine_loads_the_newest_version(self, has_waiting, expected):
         wanted = attrs.evolve(LAGGING, age_seconds=2.0, has_waiting=has_waiting)
         loaded = self.loaded({"a": 5, "b": 4}, wanted, n_running=0)
         self.assertEqual(loaded, expected)
 
-    def test_halves_load_by_turns(self):
-        """Eight engines, a version every 4 s, each step allows the version before.
+    def test_halves_alternate(self):
+        """Half of the engines are unavailable whenever a step arrives.
 
-        Without taking turns each engine loads each version: 48 loads for six versions,
-        and half of the engines are away whenever a step comes.
+        There are eight engines, a version is announced every 4 s, and each step allows
+        the previous version. If the halves didn't alternate, each engine would load
+        each version: 48 loads for six versions.
         """
         versions = dict.fromkeys("abcdefgh", 1)
         n_loads = 0
@@ -109,8 +110,8 @@
         return len(loaded)
 
 
-class Named(unittest.TestCase):
-    """How old a version a trainer's steps allow."""
+class AnnouncedVersions(unittest.TestCase):
+    """How old a weight version the steps of a trainer allow."""
 
     @tools.params(
         ("version first", [("v", 4, 0.0), ("s", 3, 0.1)], 1),
@@ -118,20 +119,20 @@
         ("every step its own version", [("v", 4, 0.0), ("s", 4, 0.1)], 0),
         ("no step yet", [("v", 4, 0.0)], 0),
     )
-    def test_lag(self, name, news, expected):
+    def test_lag(self, name, updates, expected):
         named = demand.NamedVersions()
-        for kind, version, at in news:
+        for kind, version, at in updates:
             if kind == "v":
-                named.note({"m": version}, at)
+                named.record({"m": version}, at)
             else:
-                named.note_step("m", version, at)
-        named.note({}, 9.0)
+                named.record_step("m", version, at)
+        named.record({}, 9.0)
         self.assertEqual(named.lag("m"), expected, name)
 
     def test_next_version_changes_nothing_until_its_step_comes(self):
         named = demand.NamedVersions()
-        named.note({"m": 4}, 0.0)
-        named.note_step("m", 3, 0.1)
-        named.note({"m": 4}, 1.0)
-        named.note({"m": 5}, 4.0)
+        named.record({"m": 4}, 0.0)
+        named.record_step("m", 3, 0.1)
+        named.record({"m": 4}, 1.0)
+        named.record({"m": 5}, 4.0)
         self.assertEqual((named.lag("m"), named.named_at("m")), (1, 4.0))
