--- a/bilberrydrum/batches/item_run.py
+++ b/bilberrydrum/batches/item_run.py
@@ -160,7 +160,7 @@
     )
     try:
         first = max(FIRST_EVENT_SECONDS, run.stall_seconds())
-        with attempts.waiting(means, outgoing, first):
+        with attempts.bounded_wait(means, outgoing, first):
             connection, answer = attempts.open_answer(
                 means.pool, engine.address, outgoing
             )
@@ -217,7 +217,9 @@
         # A connection that is closed before its end makes the engine drop the run.
         if is_whole:
             is_named = protocol.request_id_header in answer.headers
-            attempts.settle(means.pool, engine.address, connection, answer, is_named)
+            attempts.keep_or_close(
+                means.pool, engine.address, connection, answer, is_named
+            )
         else:
             connection.close()
 
@@ -325,7 +327,7 @@
 ) -> Iterator[bytes]:
     parts = attempts.read_parts(answer)
     while True:
-        with attempts.waiting(means, outgoing, stall_seconds()):
+        with attempts.bounded_wait(means, outgoing, stall_seconds()):
             part = next(parts, None)
         if part is None:
             return
--- a/bilberrydrum/http/callers.py
+++ b/bilberrydrum/http/callers.py
@@ -212,7 +212,7 @@
         """
         if not asker.key:
             return
-        failed = self._dispatcher.foresee_refusal(call)
+        failed = self._dispatcher.predict_refusal(call)
         if failed is not None:
             raise problems.ProblemError(answers.problem_of(failed))
 
--- a/bilberrydrum/interfaces.py
+++ b/bilberrydrum/interfaces.py
@@ -134,7 +134,7 @@
     ) -> result.Result[request_model.ApplicationAnswer, request_model.Failed]:
         """Call a plain service and return its whole answer."""
 
-    def foresee_refusal(
+    def predict_refusal(
         self, call: request_model.ModelCall | request_model.ApplicationCall
     ) -> request_model.Failed | None:
         """Return the refusal that `call` would meet now; nothing is changed."""
--- a/bilberrydrum/nodes/control.py
+++ b/bilberrydrum/nodes/control.py
@@ -78,7 +78,7 @@
     from bilberrydrum.requests import connections, single_calls
     from bilberrydrum.usage import reporter
 
-    pool = connections.Connections()
+    pool = connections.ConnectionPool()
     address = node.usage.address
     return reporter.UsageReporter(
         node.usage,
--- a/bilberrydrum/nodes/gateway.py
+++ b/bilberrydrum/nodes/gateway.py
@@ -47,8 +47,8 @@
         )
         self.view.watch(self._on_news)
         self.store_calls = self._stores.calls
-        self._clients = watch.Watch()
-        self._pool = connections.Connections()
+        self._clients = watch.ClientWatch()
+        self._pool = connections.ConnectionPool()
         means = attempts.Means(self._pool, self._clients)
         rng = random.Random()
         self.callers = callers.Callers(self.view, rng)
--- a/bilberrydrum/nodes/store.py
+++ b/bilberrydrum/nodes/store.py
@@ -36,8 +36,8 @@
             self._control.carrier, self._control.calls, self._make_request
         )
         self.view.watch(self._on_news)
-        self._clients = watch.Watch()
-        self._pool = connections.Connections()
+        self._clients = watch.ClientWatch()
+        self._pool = connections.ConnectionPool()
         # Scoring requests are sent by the stores' leader: nobody else sees the next
         # crash, as with items.
         self._crashes = crash_watch.CrashWatch(
--- a/bilberrydrum/relay/__init__.py
+++ b/bilberrydrum/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Opaque requests passed on to upstreams."""
+"""Requests that are forwarded to upstreams without being parsed."""
--- a/bilberrydrum/relay/balancing.py
+++ b/bilberrydrum/relay/balancing.py
@@ -1,9 +1,10 @@
 """Choose the upstream for a plain request.
 
-Each gateway sees a small part of the traffic, so it judges by what it knows itself: the
-requests that it has under way, the load that answers reported, and its own failures.
-A failed upstream is passed over for a while that doubles with each failure in a row;
-if all are, the one whose time ends first is tried, so that none is given up for good.
+Each gateway sees a small part of the traffic, and chooses by its own observations: the
+requests that it has in flight, the load that answers reported, and its own failed
+attempts. After a failure an upstream is avoided for a backoff time that doubles with
+each failure in a row. If all upstreams are in backoff, the one whose backoff ends first
+is tried, so that no upstream is avoided permanently.
 """
 
 import random
@@ -15,41 +16,41 @@
 from bilberrydrum import backoff, upstream_protocol
 from bilberrydrum.fleet import model
 
-# An upstream that failed is passed over for this long, in seconds, first and at most.
-# The first is some ten service times; the last is below the time in which a crashed
-# upstream is restarted (4 s and more), so that its return is noticed.
+# First and longest backoff after a failure, in seconds. The first is about ten service
+# times. The longest is below the time that a crashed upstream takes to restart (4 s and
+# more), so that its return is noticed soon.
 FIRST_BACKOFF_SECONDS: Final = 0.5
 MAX_BACKOFF_SECONDS: Final = 4.0
-# A report older than this, in seconds, says nothing: some five service times.
-LOAD_SECONDS: Final = 0.5
+# Age beyond which a load report is ignored, in seconds: about five service times.
+MAX_REPORT_AGE_SECONDS: Final = 0.5
 
 
 @attrs.define
-class _Known:
-    """What this process knows of one upstream."""
+class _UpstreamState:
+    """What this process has observed of one upstream."""
 
     n_in_flight: int = 0
     pause: backoff.Backoff = attrs.field(
         factory=lambda: backoff.Backoff(FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
     )
-    # Requests at the upstream as last reported, and when.
+    # Requests at the upstream as last reported, and the time of that report.
     n_reported: int = 0
     reported_at: float = float("-inf")
 
     def load(self, now: float) -> int:
-        """Return the requests believed to be at the upstream."""
-        if now - self.reported_at > LOAD_SECONDS:
+        """Return the estimated number of requests at the upstream."""
+        if now - self.reported_at > MAX_REPORT_AGE_SECONDS:
             return self.n_in_flight
         return max(self.n_in_flight, self.n_reported)
 
 
 class Balancer:
-    """The choice, and what it is made from."""
+    """Chooses upstreams, and keeps the observations that it chooses by."""
 
     def __init__(self, availability_zone: str, rng: random.Random) -> None:
         self._zone = availability_zone
         self._rng = rng
-        self._known_by_id: dict[str, _Known] = {}
+        self._states_by_id: dict[str, _UpstreamState] = {}
 
     def choose(
         self,
@@ -57,7 +58,7 @@
         excluded_ids: Collection[str],
         now: float,
     ) -> model.FleetUpstream | None:
-        """Return the upstream to send to, or None if there is none left."""
+        """Return the upstream to send to, or None if no candidate is left."""
         candidates = [
             each
             for each in upstreams
@@ -70,11 +71,12 @@
     def _rank(
         self, upstream: model.FleetUpstream, now: float
     ) -> tuple[float, bool, float, bool, float]:
-        known = self._known_by_id.get(upstream.upstream_id, _Known())
-        wait = known.pause.remaining(now)
-        load = known.load(now) / max(upstream.n_slots, 1)
-        # Below one place in use the zone decides: an answer from another one takes
-        # longer and its bytes cost, a second request on an engine hardly shows.
+        state = self._states_by_id.get(upstream.upstream_id, _UpstreamState())
+        wait = state.pause.remaining(now)
+        load = state.load(now) / max(upstream.n_slots, 1)
+        # While less than half of an upstream's slots are in use the zone decides: an
+        # answer from another zone takes longer and its traffic costs money, whereas one
+        # more request at an engine hardly slows it down.
         is_far = upstream.availability_zone != self._zone
         is_busy = load >= 0.5
         return (
@@ -88,54 +90,55 @@
     def has_spare(
         self,
         upstreams: Iterable[model.FleetUpstream],
-        ended_ids: Collection[str],
+        crashed_ids: Collection[str],
         now: float,
     ) -> bool:
-        """Tell whether the service can do without one of its upstreams now.
+        """Return whether the service could lose one of its upstreams now.
 
-        Where all that there are stand, one may be tried even if it is the only one.
+        It could if at least two upstreams are healthy, or if all that are registered
+        are. In the second case even the only upstream may be put at risk.
         """
         present = [each for each in upstreams if not each.is_leaving]
-        sound = [
+        healthy = [
             each
             for each in present
             if not each.is_silent
-            and each.upstream_id not in ended_ids
+            and each.upstream_id not in crashed_ids
             and not self._pause_of(each.upstream_id, now)
         ]
-        return len(sound) > 1 or (bool(sound) and len(sound) == len(present))
+        return len(healthy) > 1 or (bool(healthy) and len(healthy) == len(present))
 
     def _pause_of(self, upstream_id: str, now: float) -> float:
-        known = self._known_by_id.get(upstream_id)
-        return known.pause.remaining(now) if known is not None else 0.0
+        state = self._states_by_id.get(upstream_id)
+        return state.pause.remaining(now) if state is not None else 0.0
 
     def begin(self, upstream_id: str) -> None:
-        """Note that a request goes out."""
-        self._known(upstream_id).n_in_flight += 1
+        """Count a request that is sent to the upstream."""
+        self._state_of(upstream_id).n_in_flight += 1
 
     def end(self, upstream_id: str) -> None:
-        """Note that a request that went out has ended, however."""
-        self._known(upstream_id).n_in_flight -= 1
+        """Count a request as no longer in flight, whatever its outcome."""
+        self._state_of(upstream_id).n_in_flight -= 1
 
     def succeeded(
         self, upstream_id: str, head: upstream_protocol.AnswerHead, now: float
     ) -> None:
-        """Note an answer."""
-        known = self._known(upstream_id)
-        known.pause.succeeded()
+        """Record an answer: end the backoff, and store the load that it reports."""
+        state = self._state_of(upstream_id)
+        state.pause.succeeded()
         if head.n_running is not None:
-            known.n_reported = head.n_running + (head.n_waiting or 0)
-            known.reported_at = now
+            state.n_reported = head.n_running + (head.n_waiting or 0)
+            state.reported_at = now
 
     def failed(self, upstream_id: str, now: float) -> None:
-        """Note that an upstream gave no sound answer."""
-        self._known(upstream_id).pause.failed(now)
+        """Record that an upstream gave no valid answer, and start its backoff."""
+        self._state_of(upstream_id).pause.failed(now)
 
     def keep_only(self, upstream_ids: Collection[str]) -> None:
-        """Forget upstreams that are gone, unless a request is under way there."""
-        for upstream_id, known in list(self._known_by_id.items()):
-            if upstream_id not in upstream_ids and not known.n_in_flight:
-                del self._known_by_id[upstream_id]
+        """Remove upstreams that have left, unless a request is in flight there."""
+        for upstream_id, state in list(self._states_by_id.items()):
+            if upstream_id not in upstream_ids and not state.n_in_flight:
+                del self._states_by_id[upstream_id]
 
-    def _known(self, upstream_id: str) -> _Known:
-        return self._known_by_id.setdefault(upstream_id, _Known())
+    def _state_of(self, upstream_id: str) -> _UpstreamState:
+        return self._states_by_id.setdefault(upstream_id, _UpstreamState())
--- a/bilberrydrum/relay/callers.py
+++ b/bilberrydrum/relay/callers.py
@@ -1,11 +1,12 @@
-"""Who sends a request, and whether it may still be sent on.
-
-A key is judged by a policy that the control leader has confirmed lately (see
-`fleet.policy_lease`), and once more right before each sending: a request may wait in
-between, and its key may be taken away meanwhile. A key that the policy here lacks may
-be new, so it is called unknown only once the leader has said, after the request came,
-that there is no newer policy; else its holder would be turned away for good by a
-gateway that lags by a moment.
+"""Identify the sender of a request, and check that it may still be served.
+
+A key is checked against a policy that the control leader has confirmed recently (see
+`fleet.policy_lease`), and again immediately before each send: a request may wait in
+between, and its key may be revoked meanwhile. A key that is missing in the local policy
+may be new. It is refused as unknown only after the leader has confirmed, later than the
+request arrived, that there is no newer policy. Without that check, a gateway whose copy
+is slightly out of date would refuse a valid key with an error that tells its holder not
+to retry.
 """
 
 import random
@@ -19,29 +20,31 @@
 from bilberrydrum.fleet import accounts, policy, subscriber
 from bilberrydrum.relay import model
 
-# Longest wait for the leader's word on a key that is not known here, in seconds: a few
-# round trips between zones, and one pause between two renewals.
+# Longest wait for the leader's confirmation when a key is unknown here, in seconds: a
+# few round trips between zones, and one pause between two renewals.
 CONFIRM_SECONDS: Final = 0.3
-# When a caller whose key cannot be judged may come back, in seconds: most likely to
-# another gateway, which can; spread, as all that this one turns away come at once.
+# Time after which a caller whose key cannot be checked may retry, in seconds. The retry
+# most likely reaches another gateway, which can check the key. The time is drawn at
+# random, since all callers that this gateway refuses would otherwise retry at once.
 UNCONFIRMED_RETRY_RANGE: Final = (0.05, 0.3)
 
 
 @attrs.frozen
 class Caller:
-    """Who has sent a request."""
+    """The identified sender of a request."""
 
-    # None: the policy has no accounts; empty: the request needs none.
+    # Name of the account. None: the policy has no accounts; empty: the route is public.
     account: str | None = None
-    # Asked right before each sending: why the request must not go out, if so.
+    # Called immediately before each send; returns why the request must not be sent, or
+    # None.
     find_refusal: Callable[[], reasons.Reason | None] = model.never_refused
 
 
-ANYBODY: Final = Caller(account="")
+ANONYMOUS: Final = Caller(account="")
 
 
 class Callers:
-    """Finds out who sends the requests of one gateway."""
+    """Identifies the senders of the requests at one gateway."""
 
     def __init__(self, view: subscriber.Subscriber, rng: random.Random) -> None:
         self._view = view
@@ -50,18 +53,18 @@
     def of_request(
         self, request_id: str, route: policy.Route, key: str
     ) -> Caller | model.Refused:
-        """Return who sends a request of `route`."""
+        """Return the sender of a request on `route`, or the refusal of its key."""
         if self._view.routes.accounts is not None and route.is_public:
-            return ANYBODY
+            return ANONYMOUS
         return self._identify(request_id, key)
 
     def of_batch_call(
         self, request_id: str, host: str, key: str
     ) -> Caller | model.Refused:
-        """Return who asks for a batch, which no route names."""
+        """Return the sender of a call about batches, which has no route of its own."""
         routes = self._view.routes
         if routes.accounts is not None and not key and routes.has_public_batches(host):
-            return ANYBODY
+            return ANONYMOUS
         return self._identify(request_id, key)
 
     def _identify(self, request_id: str, key: str) -> Caller | model.Refused:
@@ -82,7 +85,11 @@
         return Caller(name, lambda: self._find_refusal(digest, name))
 
     def _find_refusal(self, digest: bytes, name: str | None) -> reasons.Reason | None:
-        """Return why a key is not served now; `name`: the account that it stood for."""
+        """Return why a key is not served now, or None.
+
+        `name` is the account that the key belonged to when the request was accepted,
+        or None if that is not known yet.
+        """
         table = self._view.routes.accounts
         if table is None:
             return None
@@ -102,6 +109,6 @@
             policy_version=self._view.routes.policy.version,
             policy_age=round(clock.now() - self._view.policy_lease.confirmed_at, 3),
         )
-        may_come_back = reason is not reasons.Reason.UNAUTHORIZED
+        may_retry = reason is not reasons.Reason.UNAUTHORIZED
         retry_after = self._rng.uniform(*UNCONFIRMED_RETRY_RANGE)
-        return model.Refused(reason, False, retry_after if may_come_back else 0.0)
+        return model.Refused(reason, False, retry_after if may_retry else 0.0)
--- a/bilberrydrum/relay/crash_watch.py
+++ b/bilberrydrum/relay/crash_watch.py
@@ -72,7 +72,7 @@
     fingerprint: str
     # What it asks for, as an operator reads it.
     subject: str
-    upstream: attempts.Target
+    upstream: attempts.Endpoint
     # Time from the request's sending to the break, in seconds.
     seconds: float
     # It had been well for so long that its upstream's end is not held against it.
--- a/bilberrydrum/relay/hedging.py
+++ b/bilberrydrum/relay/hedging.py
@@ -1,15 +1,15 @@
-"""When a second upstream is asked although the first may still answer.
-
-Answers the load in which an upstream stands still, or is many times as slow as its
-peers, and takes connections all the same. Gateways that see a request every few seconds
-learn of it one by one, and each pays with a caller who waits until the first attempt is
-given up: three and a half times the target latency. Asked a second time after half of
-the target, another upstream still answers inside it.
-
-The first attempt goes on: broken off, its work would be lost if the second one fails.
-Only requests that may run more than once, whose route allows one more upstream, are
-asked twice, and no more of them than the budget lets: where all upstreams are slow, a
-second copy of each request would make them slower.
+"""Decide when a late request is hedged: sent to a second upstream as well.
+
+This guards against an upstream that hangs, or is many times slower than its peers, but
+still accepts connections. Gateways that see a request every few seconds notice it one
+by one, and at each of them a caller waits until the first attempt times out, after
+three and a half times the target latency. If a second upstream is asked after half of
+the target, its answer still arrives within the target.
+
+The first attempt continues meanwhile, because its work would be lost if the second one
+failed. Only requests that may run more than once and whose route allows one more
+attempt are hedged, and only within a budget: if all upstreams are slow, a second copy
+of each request would make them slower.
 """
 
 from typing import Final
@@ -17,43 +17,44 @@
 from bilberrydrum.fleet import policy
 from bilberrydrum.requests import retries
 
-# Share of the target latency after which a second upstream is asked: as much is left
-# for its answer.
+# Share of the target latency after which a request is hedged. The other half is left
+# for the second upstream's answer.
 _TARGET_SHARE: Final = 0.5
-# An answer is late by its peers' measure after this many times their mean. Services
-# whose answers take most of their target are not asked twice for that alone.
+# A request is hedged only after this many times the service's mean latency. Without
+# this bound, all requests to a service that normally needs most of its target would be
+# hedged.
 _MEAN_FACTOR: Final = 3.0
-# Weight of one answer in the mean, which so follows some twenty answers.
+# Weight of one answer in the moving mean, which so covers about twenty answers.
 _WEIGHT: Final = 0.05
-# Requests that may be asked twice, as a share of all; beside it the budget lets one
-# every two seconds pass.
+# Hedged requests as a share of all requests. In addition the budget allows one every
+# two seconds.
 _BUDGET_SHARE: Final = 0.05
 
 
 class Hedging:
-    """The waits before second attempts of one gateway, by service, and their budget."""
+    """The hedging state of one gateway: mean latencies by service, and the budget."""
 
     def __init__(self) -> None:
         self._mean_seconds_by_service: dict[str, float] = {}
         self._budget = retries.RetryBudget(_BUDGET_SHARE)
 
-    def answered(self, service: str, seconds: float) -> None:
-        """Take in how long an attempt took that was answered."""
+    def record_latency(self, service: str, seconds: float) -> None:
+        """Record the latency of an attempt that was answered, in seconds."""
         mean = self._mean_seconds_by_service.get(service, seconds)
         mean += _WEIGHT * (seconds - mean)
         self._mean_seconds_by_service[service] = mean
 
-    def first_attempt(self) -> None:
-        """Count a request."""
-        self._budget.first_attempt()
+    def count_first_attempt(self) -> None:
+        """Count a request's first attempt, which adds to the budget."""
+        self._budget.count_first_attempt()
 
-    def patience(self, route: policy.Route, service: str) -> float | None:
-        """Return how long to wait for the first answer; None: until it is given up."""
+    def hedge_delay(self, route: policy.Route, service: str) -> float | None:
+        """Return the time after which to hedge, in seconds; None: do not hedge."""
         if not route.target_latency_seconds:
             return None
         mean = self._mean_seconds_by_service.get(service, 0.0)
         return max(route.target_latency_seconds * _TARGET_SHARE, mean * _MEAN_FACTOR)
 
-    def may_ask_second(self, now: float) -> bool:
-        """Tell whether the budget has a second attempt left, and take it."""
+    def try_take_hedge(self, now: float) -> bool:
+        """Take one hedge from the budget; return False if none is left."""
         return self._budget.take(now)
--- a/bilberrydrum/relay/relay.py
+++ b/bilberrydrum/relay/relay.py
@@ -1,9 +1,10 @@
-"""Pass a request on to an upstream and its whole answer back.
+"""Forward a request to an upstream, and its complete answer to the caller.
 
-An idempotent request goes to another upstream after a failure, as long as the caller's
-time allows and the route's number of attempts is not used up. One that may run once
-only goes on to another upstream just after a promise that it has not run. A refusal is
-called "not run" only if every upstream that was sent a byte has promised so.
+After a failure, an idempotent request is sent to another upstream, as long as the
+caller's deadline and the route's number of attempts allow it. A request that must not
+run twice is sent to another upstream only if the one before has stated that it did not
+run the request. A refusal is marked as "not run" only if each upstream that received a
+byte of the request has stated that.
 """
 
 import random
@@ -17,49 +18,58 @@
 from bilberrydrum import clock, counters, quarantine, reasons, upstream_protocol
 from bilberrydrum.fleet import model as fleet_model
 from bilberrydrum.fleet import policy, subscriber
-from bilberrydrum.relay import balancing, courses, crash_watch, hedging, model, trial
+from bilberrydrum.relay import (
+    balancing,
+    crash_watch,
+    hedging,
+    model,
+    relayed_requests,
+    trial,
+)
 from bilberrydrum.requests import attempts, examination, outgoing_requests
 from bilberrydrum.requests import model as request_model
 from bilberrydrum.usage import meter as usage_meter
 
-# Share of the time left that one attempt may take while others may follow: a silent
-# upstream then leaves time for two more.
-_TRY_SHARE: Final = 0.45
-# An attempt that may be followed by another is given at least this many times the
-# route's target latency, so that a slow answer isn't taken for a lost one.
-_TRY_TARGETS: Final = 2.0
-# Status by which an upstream says that it ran a request and failed.
+# Share of the remaining time that one attempt may take if others may follow. An
+# upstream that does not answer then leaves time for two more attempts.
+_ATTEMPT_TIME_SHARE: Final = 0.45
+# Shortest time for an attempt that may be followed by another, as a multiple of the
+# route's target latency, so that an attempt with a slow answer is not abandoned.
+_MIN_ATTEMPT_TARGETS: Final = 2.0
+# Status by which an upstream reports that it ran a request and failed.
 _FAILED_STATUS: Final = 500
-# A request whose time is up is answered this long, in seconds, before the caller stops
-# to wait: a way of 1 ms and a hub turn.
+# A request that times out is answered this long, in seconds, before the caller stops
+# waiting. This covers a network delay of 1 ms and one pass of the event hub.
 ANSWER_MARGIN_SECONDS: Final = 0.02
-# A caller that was refused comes back after a few service times.
-_RULES: Final = courses.Rules(
+# A refused caller may retry after a few service times.
+_RULES: Final = relayed_requests.Rules(
     "request", max_rejections=6, retry_after_range=(0.05, 0.25)
 )
 
 
 @attrs.define
-class _Course(courses.Course):
-    """What has become of one request so far."""
+class _PlainRequest(relayed_requests.RelayedRequest):
+    """The state of one request that is answered as a whole, not as a stream."""
 
-    # Chosen once: the route's shares are those of requests, not of attempts.
+    # Chosen once per request: the route's shares are shares of requests, not of
+    # attempts.
     service: str = ""
+    # Latest answer with a status of 500 or more; forwarded if no attempt succeeds.
     last_failure: request_model.ApplicationAnswer | None = None
     # Attempts that have not ended.
     n_under_way: int = 0
-    # An answer is passed on; what else comes is late.
+    # An answer was forwarded; any further answer is late.
     is_answered: bool = False
 
 
 @attrs.define
 class _Attempt:
-    """One upstream that is asked; two may be at the same time."""
+    """One attempt at one upstream; a hedged request has two at the same time."""
 
     upstream: fleet_model.FleetUpstream
     outgoing: outgoing_requests.Outgoing
     began_at: float
-    # The upstream may have run it.
+    # The upstream may have run the request.
     has_run: bool = False
 
     @property
@@ -68,12 +78,12 @@
         return self.upstream.upstream_id
 
     def seconds(self) -> float:
-        """Return for how long it has been under way."""
+        """Return the time since the attempt began, in seconds."""
         return clock.now() - self.began_at
 
 
 class Relay:
-    """Passes requests on at one gateway."""
+    """Forwards requests at one gateway."""
 
     def __init__(
         self,
@@ -91,10 +101,11 @@
         Parameters
         ----------
         meter : usage.meter.Meter or None
-            None where use is not counted.
+            None if usage is not metered.
         hedges : hedging.Hedging or None
-            None where no second upstream is asked beside the first: by senders of
-            bursts that leave places for others, who would lose these places.
+            None if requests are not hedged. Senders of bursts of requests don't hedge:
+            they leave a part of the upstreams' capacity to other senders, and second
+            attempts would take it.
         """
         self._meter = meter
         self._protocol = protocol
@@ -104,15 +115,15 @@
         self._crashes = crashes
         self._balancer = balancer
         self._hedging = hedges
-        view.watch(self._on_news)
+        view.watch(self._on_view_change)
 
-    def _on_news(self) -> None:
+    def _on_view_change(self) -> None:
         self._balancer.keep_only(self._view.registry.upstreams_by_id)
 
     def handle(
         self, inbound: model.Inbound, route: policy.Route
     ) -> model.Answered | model.Refused:
-        """Return an upstream's answer to `inbound`, or why there is none."""
+        """Return an upstream's answer to `inbound`, or the refusal for its caller."""
         began = clock.now()
         answer = self._handle(inbound, route)
         outcome = "refused"
@@ -128,7 +139,7 @@
         is_idempotent = route.kind is policy.RouteKind.IDEMPOTENT
         may_run_again = is_idempotent or inbound.may_run_again
         deadline -= ANSWER_MARGIN_SECONDS
-        course = _Course(
+        request = _PlainRequest(
             _RULES,
             inbound,
             route,
@@ -138,135 +149,141 @@
             service=route.choose_service(self._rng),
         )
         if self._hedging is not None:
-            self._hedging.first_attempt()
-        while course.may_go_on():
-            upstream = self._choose(course)
+            self._hedging.count_first_attempt()
+        while request.may_attempt():
+            upstream = self._choose(request)
             if upstream is None:
                 break
-            answer = self._try_hedged(upstream, course)
+            answer = self._try_hedged(upstream, request)
             if answer is not None:
                 return answer
-        return self._give_up(course)
+        return self._give_up(request)
 
-    def _choose(self, course: _Course) -> fleet_model.FleetUpstream | None:
-        upstreams = self._view.registry.of_service(course.service)
-        refusal = trial.find_refusal(course, self._crashes, self._balancer, upstreams)
+    def _choose(self, request: _PlainRequest) -> fleet_model.FleetUpstream | None:
+        upstreams = self._view.registry.of_service(request.service)
+        refusal = trial.find_refusal(request, self._crashes, self._balancer, upstreams)
         if refusal is not None:
-            course.refuse(refusal)
+            request.refuse(refusal)
             return None
-        return self._balancer.choose(upstreams, course.excluded_ids, clock.now())
+        return self._balancer.choose(upstreams, request.excluded_ids, clock.now())
 
     def _try_hedged(
-        self, upstream: fleet_model.FleetUpstream, course: _Course
+        self, upstream: fleet_model.FleetUpstream, request: _PlainRequest
     ) -> model.Answered | None:
-        """Ask `upstream`, and another one if its answer is late (see `hedging`)."""
-        patience = self._patience(course)
-        if patience is None:
-            return self._try(upstream, course)
+        """Ask `upstream`, and a second upstream if the answer is late (see `hedging`).
+
+        Returns None if no attempt had an answer to forward.
+        """
+        delay = self._hedge_delay(request)
+        if delay is None:
+            return self._try(upstream, request)
         answers: Any = eventlet.queue.LightQueue()
         answer: model.Answered | None = None
-        eventlet.spawn_n(self._try_apart, upstream, course, answers)
+        eventlet.spawn_n(self._try_in_task, upstream, request, answers)
         try:
-            answer = answers.get(timeout=patience)
+            answer = answers.get(timeout=delay)
             return answer
         except eventlet.queue.Empty:
             n_under_way = 1
-        second = self._choose_second(upstream, course)
+        second = self._choose_second(upstream, request)
         if second is not None:
-            eventlet.spawn_n(self._try_apart, second, course, answers)
+            eventlet.spawn_n(self._try_in_task, second, request, answers)
             n_under_way += 1
         while answer is None and n_under_way:
             answer = answers.get()
             n_under_way -= 1
         return answer
 
-    def _patience(self, course: _Course) -> float | None:
-        """Return when a second upstream may be asked; None: it may not."""
-        if self._hedging is None or not course.may_run_again:
+    def _hedge_delay(self, request: _PlainRequest) -> float | None:
+        """Return the time after which to hedge, in seconds; None: do not hedge."""
+        if self._hedging is None or not request.may_run_again:
             return None
-        if course.n_run + 2 > course.route.max_attempts:
+        if request.n_run + 2 > request.route.max_attempts:
             return None
-        if self._crashes.standing(course.fingerprint) is not quarantine.Standing.CLEAR:
-            # What may end upstreams is sent to one at a time.
+        if self._crashes.standing(request.fingerprint) is not quarantine.Standing.CLEAR:
+            # A request that may crash upstreams is sent to one upstream at a time.
             return None
-        patience = self._hedging.patience(course.route, course.service)
-        if patience is None or clock.now() + patience >= course.deadline:
+        delay = self._hedging.hedge_delay(request.route, request.service)
+        if delay is None or clock.now() + delay >= request.deadline:
             return None
-        return patience
+        return delay
 
     def _choose_second(
-        self, first: fleet_model.FleetUpstream, course: _Course
+        self, first: fleet_model.FleetUpstream, request: _PlainRequest
     ) -> fleet_model.FleetUpstream | None:
         assert self._hedging is not None
-        if not course.may_go_on() or not self._hedging.may_ask_second(clock.now()):
+        if not request.may_attempt() or not self._hedging.try_take_hedge(clock.now()):
             return None
-        second = self._choose(course)
+        second = self._choose(request)
         if second is not None:
             counters.retried(reasons.Reason.UPSTREAM_SLOW)
             eliot.log_message(
-                message_type="relay:asked-second",
-                request_id=course.inbound.request_id,
+                message_type="relay:hedged",
+                request_id=request.inbound.request_id,
                 upstream_id=first.upstream_id,
                 second_id=second.upstream_id,
-                remaining_seconds=round(course.deadline - clock.now(), 3),
+                remaining_seconds=round(request.deadline - clock.now(), 3),
             )
         return second
 
-    def _try_apart(
-        self, upstream: fleet_model.FleetUpstream, course: _Course, answers: Any
+    def _try_in_task(
+        self, upstream: fleet_model.FleetUpstream, request: _PlainRequest, answers: Any
     ) -> None:
-        """Make one attempt in a task of its own, and hand over what it gave."""
+        """Make one attempt in a separate task, and put its result on `answers`."""
         answer = None
         try:
-            answer = self._try(upstream, course)
+            answer = self._try(upstream, request)
         except Exception:
-            # The request's own task waits for a word of each attempt.
+            # Without a result from each attempt, the request's own task would wait
+            # forever; the result is put on the queue below.
             eliot.write_traceback()
         finally:
             answers.put(answer)
 
     def _try(
-        self, upstream: fleet_model.FleetUpstream, course: _Course
+        self, upstream: fleet_model.FleetUpstream, request: _PlainRequest
     ) -> model.Answered | None:
-        """Make one attempt; None: it gave nothing to be passed on."""
-        outgoing = self._outgoing(upstream, course)
+        """Make one attempt; return None if it gave no answer to forward."""
+        outgoing = self._outgoing(upstream, request)
         attempt = _Attempt(upstream, outgoing, clock.now())
-        with usage_meter.attempt(self._meter, course.inbound.account) as counted:
-            answer = self._carry_out(attempt, course)
+        with usage_meter.attempt(self._meter, request.inbound.account) as counted:
+            answer = self._carry_out(attempt, request)
             if attempt.has_run:
                 counted.began_at = outgoing.sent_at
         return answer
 
-    def _carry_out(self, attempt: _Attempt, course: _Course) -> model.Answered | None:
-        course.excluded_ids.add(attempt.upstream_id)
-        course.n_under_way += 1
+    def _carry_out(
+        self, attempt: _Attempt, request: _PlainRequest
+    ) -> model.Answered | None:
+        request.excluded_ids.add(attempt.upstream_id)
+        request.n_under_way += 1
         self._balancer.begin(attempt.upstream_id)
         try:
             answer = attempts.call(self._means, attempt.upstream, attempt.outgoing)
         except attempts.AttemptError as error:
-            return self._failed(attempt, course, error)
+            return self._handle_failure(attempt, request, error)
         finally:
             self._balancer.end(attempt.upstream_id)
-            course.n_under_way -= 1
-        return self._answered(attempt, course, answer)
+            request.n_under_way -= 1
+        return self._handle_answer(attempt, request, answer)
 
     def _outgoing(
-        self, upstream: fleet_model.FleetUpstream, course: _Course
+        self, upstream: fleet_model.FleetUpstream, request: _PlainRequest
     ) -> outgoing_requests.Outgoing:
-        inbound = course.inbound
+        inbound = request.inbound
         now = clock.now()
-        remaining = course.deadline - now
+        remaining = request.deadline - now
         seconds = remaining
-        n_asked = course.n_run + course.n_under_way
-        is_last = n_asked + 1 >= course.route.max_attempts
-        if course.may_run_again and not is_last:
-            floor = _TRY_TARGETS * course.route.target_latency_seconds
-            seconds = min(remaining, max(floor, remaining * _TRY_SHARE))
+        n_asked = request.n_run + request.n_under_way
+        is_last = n_asked + 1 >= request.route.max_attempts
+        if request.may_run_again and not is_last:
+            floor = _MIN_ATTEMPT_TARGETS * request.route.target_latency_seconds
+            seconds = min(remaining, max(floor, remaining * _ATTEMPT_TIME_SHARE))
         attempt = upstream_protocol.Attempt(
             inbound.request_id,
             upstream.announced_id,
             remaining,
-            priority=courses.engine_rank(course, self._view),
+            priority=relayed_requests.engine_rank(request, self._view),
             account=inbound.account,
         )
         return outgoing_requests.Outgoing(
@@ -276,119 +293,123 @@
             self._protocol.relay_headers(inbound.headers, attempt),
             inbound.body,
             now + seconds,
-            course.may_run_again,
-            lambda: courses.find_refusal(
-                course, self._crashes, self._view, upstream.upstream_id
+            request.may_run_again,
+            lambda: relayed_requests.find_refusal(
+                request, self._crashes, self._view, upstream.upstream_id
             ),
             inbound.is_client_gone,
             id_header=self._protocol.request_id_header,
             accepts_unframed=True,
-            may_repeat=course.may_run_again,
+            may_repeat=request.may_run_again,
         )
 
-    def _answered(
+    def _handle_answer(
         self,
         attempt: _Attempt,
-        course: _Course,
+        request: _PlainRequest,
         answer: request_model.ApplicationAnswer,
     ) -> model.Answered | None:
         head = self._protocol.read_head(dict(answer.headers))
         if head.was_not_run:
-            self._rejected(attempt, course, answer)
+            self._handle_rejection(attempt, request, answer)
             return None
-        course.n_run += 1
+        request.n_run += 1
         attempt.has_run = True
         if answer.status < 300 and not head.is_genuine:
-            # Passed on, it would be taken for the work's result.
+            # Not the upstream's own answer, so it must not be forwarded: the caller
+            # would take it for the result.
             self._balancer.failed(attempt.upstream_id, clock.now())
             reason = reasons.Reason.ANSWER_MISMATCHED
-            course.note_failure(attempt.upstream_id, reason, self._view)
+            request.record_failure(attempt.upstream_id, reason, self._view)
             return None
         self._balancer.succeeded(attempt.upstream_id, head, clock.now())
         if self._hedging is not None:
-            self._hedging.answered(course.service, attempt.seconds())
-        self._crashes.was_answered(course.fingerprint)
+            self._hedging.record_latency(request.service, attempt.seconds())
+        self._crashes.was_answered(request.fingerprint)
         if answer.status == _FAILED_STATUS:
-            course.n_failures += 1
-        if answer.status >= 500 and course.may_run_again and course.may_go_on():
-            course.last_failure = answer
+            request.n_failures += 1
+        if answer.status >= 500 and request.may_run_again and request.may_attempt():
+            request.last_failure = answer
             reason = reasons.Reason.UPSTREAM_ERROR
-            course.note_failure(attempt.upstream_id, reason, self._view)
+            request.record_failure(attempt.upstream_id, reason, self._view)
             return None
-        _log_end(course, attempt.upstream_id, answer.status)
-        return self._passed_on(course, answer)
+        _log_answer(request, attempt.upstream_id, answer.status)
+        return self._to_answered(request, answer)
 
-    def _rejected(
+    def _handle_rejection(
         self,
         attempt: _Attempt,
-        course: _Course,
+        request: _PlainRequest,
         answer: request_model.ApplicationAnswer,
     ) -> None:
-        course.n_rejections += 1
+        request.n_rejections += 1
         if answer.status != 503:
-            # Another incarnation has its address, or it takes no requests at all.
+            # The upstream is not merely busy, as with 503: its address belongs to
+            # another incarnation now, or it accepts no requests at all.
             self._balancer.failed(attempt.upstream_id, clock.now())
         reason = reasons.Reason.UPSTREAM_BUSY
-        course.note_failure(attempt.upstream_id, reason, self._view)
+        request.record_failure(attempt.upstream_id, reason, self._view)
 
-    def _failed(
+    def _handle_failure(
         self,
         attempt: _Attempt,
-        course: _Course,
+        request: _PlainRequest,
         error: attempts.AttemptError,
     ) -> model.Answered | None:
         if error.answer is not None:
-            return self._answered(attempt, course, error.answer)
-        course.count(error.may_have_run)
+            return self._handle_answer(attempt, request, error.answer)
+        request.count_failed_attempt(error.may_have_run)
         attempt.has_run = error.may_have_run
-        if not error.is_refusal and not self._was_hurried(attempt, course, error):
+        if not error.is_refusal and not self._was_cut_short_by_caller(
+            attempt, request, error
+        ):
             self._balancer.failed(attempt.upstream_id, clock.now())
-        if error.reason in courses.FINAL_REASONS:
-            course.stop()
+        if error.reason in relayed_requests.FINAL_REASONS:
+            request.stop()
         if error.may_have_run and error.reason in examination.BROKEN:
-            broken = course.broken_run(attempt.upstream, attempt.seconds())
+            broken = request.broken_run(attempt.upstream, attempt.seconds())
             self._crashes.run_broke(broken)
-        course.note_failure(attempt.upstream_id, error.reason, self._view)
+        request.record_failure(attempt.upstream_id, error.reason, self._view)
         return None
 
     @staticmethod
-    def _was_hurried(
-        attempt: _Attempt, course: _Course, error: attempts.AttemptError
+    def _was_cut_short_by_caller(
+        attempt: _Attempt, request: _PlainRequest, error: attempts.AttemptError
     ) -> bool:
-        """Tell whether the caller's own short time ended the attempt.
+        """Return whether the caller's short deadline made the attempt time out.
 
-        Held against the upstream, callers in a hurry would drive all others away from
-        healthy upstreams.
+        Such a timeout is not counted as the upstream's failure. Otherwise callers with
+        short deadlines would put healthy upstreams into backoff for all callers.
         """
         is_timeout = error.reason is reasons.Reason.UPSTREAM_TIMEOUT
-        fair = _TRY_TARGETS * course.route.target_latency_seconds
-        return is_timeout and attempt.seconds() < fair
-
-    def _give_up(self, course: _Course) -> model.Answered | model.Refused:
-        if course.last_failure is not None:
-            answer = course.last_failure
-            _log_end(course, answer.upstream_id, answer.status)
-            return self._passed_on(course, answer)
-        return course.refusal(self._view, self._rng)
-
-    def _passed_on(
-        self, course: _Course, answer: request_model.ApplicationAnswer
+        min_seconds = _MIN_ATTEMPT_TARGETS * request.route.target_latency_seconds
+        return is_timeout and attempt.seconds() < min_seconds
+
+    def _give_up(self, request: _PlainRequest) -> model.Answered | model.Refused:
+        if request.last_failure is not None:
+            answer = request.last_failure
+            _log_answer(request, answer.upstream_id, answer.status)
+            return self._to_answered(request, answer)
+        return request.refusal(self._view, self._rng)
+
+    def _to_answered(
+        self, request: _PlainRequest, answer: request_model.ApplicationAnswer
     ) -> model.Answered:
         head = self._protocol.read_head(dict(answer.headers))
         signature = head.signature if answer.is_named else ""
         return model.Answered(
-            answer.status, answer.headers, answer.body, signature, course.n_failures
+            answer.status, answer.headers, answer.body, signature, request.n_failures
         )
 
 
-def _log_end(course: _Course, upstream_id: str, status: int) -> None:
+def _log_answer(request: _PlainRequest, upstream_id: str, status: int) -> None:
     eliot.log_message(
         message_type="relay:answered",
-        request_id=course.inbound.request_id,
-        route=course.route.name,
+        request_id=request.inbound.request_id,
+        route=request.route.name,
         upstream_id=upstream_id,
         status=status,
-        n_run=course.n_run,
-        is_late=course.is_answered,
+        n_run=request.n_run,
+        is_late=request.is_answered,
     )
-    course.is_answered = True
+    request.is_answered = True
--- a/bilberrydrum/relay/courses.py
+++ b/bilberrydrum/relay/relayed_requests.py
@@ -1,4 +1,4 @@
-"""What has become of one request or stream so far, and whether it may go on."""
+"""The state of one relayed request or stream over its attempts at upstreams."""
 
 import random
 from typing import Final
@@ -12,11 +12,12 @@
 from bilberrydrum.relay import crash_watch, model
 from bilberrydrum.requests import fingerprints
 
-# When the caller of a doubtful request may come back, in seconds: upstreams that ended
-# start again within some seconds, and it is not sent to the last one that stands.
-DOUBTFUL_RETRY_RANGE: Final = (1.0, 2.0)
-# Reasons by which no upstream is to be asked any more: nobody waits, or the sender must
-# not be served.
+# Time after which the caller of a request suspected of crashing upstreams may retry, in
+# seconds. Such a request is not sent to the last running upstream, and crashed
+# upstreams restart within some seconds.
+SUSPECTED_RETRY_RANGE: Final = (1.0, 2.0)
+# Reasons after which no further attempt is made: no caller waits for the answer, or the
+# sender must not be served.
 FINAL_REASONS: Final = frozenset(
     {
         reasons.Reason.CALLER_GONE,
@@ -29,44 +30,49 @@
 
 @attrs.frozen
 class Rules:
-    """How far one kind of request goes on."""
+    """The limits on attempts and retries of one kind of request."""
 
-    # What it is called in the log.
+    # Name of the kind in log lines.
     kind: str
-    # Upstreams that may turn it away before it runs; beyond it the caller is told.
+    # Rejections by upstreams before the request ran that are tolerated; with one more
+    # the caller is refused.
     max_rejections: int
-    # When a refused caller may come back, in seconds, from and to: spread out, so that
-    # those refused together don't come back together.
+    # Shortest and longest time after which a refused caller may retry, in seconds. The
+    # time is drawn at random, so that callers refused together don't retry together.
     retry_after_range: tuple[float, float]
 
 
 @attrs.define
-class Course:
-    """One request on its way from upstream to upstream."""
+class RelayedRequest:
+    """The state of one request over its attempts at upstreams."""
 
     rules: Rules
     inbound: model.Inbound
     route: policy.Route
-    # May be sent to another upstream after it may have run.
+    # Whether it may be sent to another upstream after an attempt that may have run it.
     may_run_again: bool
-    # When its caller must have an answer, in seconds of `clock.now`.
+    # Time by which the caller must have an answer, in seconds of `clock.now`.
     deadline: float
     protocol: upstream_protocol.UpstreamProtocol
+    # Upstreams that were tried already.
     excluded_ids: set[str] = attrs.field(factory=set)
-    # Attempts that may have run.
+    # Attempts after which the request may have run.
     n_run: int = 0
+    # Attempts that are known not to have run the request.
     n_rejections: int = 0
-    # Answers by which upstreams said that they had failed.
+    # Answers with status 500.
     n_failures: int = 0
     last_reason: reasons.Reason = reasons.Reason.NO_UPSTREAM
-    # Number of the last event that was passed on; None: none, or it is no stream.
+    # Number of the last event that the caller has: the last one forwarded, or the one
+    # that the caller asked to resume after. None if there is none, or if this is no
+    # stream.
     last_number: int | None = None
-    # It is doubtful, and may be sent to one upstream to see what becomes of it.
+    # It is suspected of crashing upstreams, and was allowed one trial.
     is_trial: bool = False
     _fingerprint: str = ""
 
     def fingerprint(self) -> str:
-        """Return what is the same for all attempts at the same work."""
+        """Return a digest that all attempts at the same work have in common."""
         if not self._fingerprint:
             inbound = self.inbound
             identity = self.protocol.identity_of(inbound.headers)
@@ -83,7 +89,7 @@
     def broken_run(
         self, upstream: fleet_model.FleetUpstream, seconds: float
     ) -> crash_watch.BrokenRun:
-        """Return an attempt that broke off after `seconds`."""
+        """Return the record of an attempt that broke off after `seconds`."""
         inbound = self.inbound
         return crash_watch.BrokenRun(
             inbound.request_id,
@@ -93,8 +99,8 @@
             seconds,
         )
 
-    def may_go_on(self) -> bool:
-        """Tell whether another upstream may be asked."""
+    def may_attempt(self) -> bool:
+        """Return whether one more attempt may be made."""
         is_over = self.n_rejections > self.rules.max_rejections
         if is_over or clock.now() >= self.deadline:
             return False
@@ -103,28 +109,28 @@
         return self.may_run_again and self.n_run < self.route.max_attempts
 
     def stop(self) -> None:
-        """Ask nobody any more: the caller has gone, or no upstream is left."""
+        """Make no further attempt: the caller is gone, or no upstream is left."""
         self.n_rejections = self.rules.max_rejections + 1
 
     def refuse(self, reason: reasons.Reason) -> None:
-        """Ask nobody any more, for what the request is held to be."""
+        """Make no further attempt, because the request itself is refused."""
         self.last_reason = reason
         self.stop()
 
-    def count(self, may_have_run: bool) -> None:
-        """Count an attempt that gave no answer."""
+    def count_failed_attempt(self, may_have_run: bool) -> None:
+        """Count an attempt without an answer that can be forwarded."""
         if may_have_run:
             self.n_run += 1
         else:
             self.n_rejections += 1
 
-    def note_failure(
+    def record_failure(
         self,
         upstream_id: str,
         reason: reasons.Reason,
         view: subscriber.Subscriber,
     ) -> None:
-        """Note an attempt that gave nothing to be passed on."""
+        """Record and log an attempt without an answer that can be forwarded."""
         self.last_reason = reason
         counters.retried(reason)
         eliot.log_message(
@@ -140,13 +146,14 @@
         )
 
     def refusal(self, view: subscriber.Subscriber, rng: random.Random) -> model.Refused:
-        """Return what the caller is told when no upstream is left."""
+        """Return the refusal for the caller when no further attempt is made."""
         may_have_run = self.n_run > 0
-        # Whoever is told that a quarantined request did not run, or when to come back,
-        # sends it again.
+        # The refusal of a quarantined request is final and gives no time for a retry: a
+        # caller that learns that its request did not run, or when to retry, sends it
+        # again.
         is_final = self.last_reason is reasons.Reason.REQUEST_QUARANTINED
         is_denied = self.last_reason is reasons.Reason.UNAUTHORIZED
-        may_come_back = not may_have_run and not is_final and not is_denied
+        may_retry = not may_have_run and not is_final and not is_denied
         counters.refused(self.last_reason)
         eliot.log_message(
             message_type="relay:refused",
@@ -165,7 +172,7 @@
         return model.Refused(
             self.last_reason,
             may_have_run,
-            rng.uniform(*self._retry_after_range()) if may_come_back else 0.0,
+            rng.uniform(*self._retry_after_range()) if may_retry else 0.0,
             is_timeout=clock.now() >= self.deadline,
             n_failures=self.n_failures,
             is_final=is_final,
@@ -173,29 +180,29 @@
 
     def _retry_after_range(self) -> tuple[float, float]:
         if self.last_reason is reasons.Reason.REQUEST_DOUBTFUL:
-            return DOUBTFUL_RETRY_RANGE
+            return SUSPECTED_RETRY_RANGE
         return self.rules.retry_after_range
 
 
 def find_refusal(
-    course: Course,
+    request: RelayedRequest,
     crashes: crash_watch.CrashWatch,
     view: subscriber.Subscriber,
     upstream_id: str,
 ) -> reasons.Reason | None:
-    """Return why nothing must be sent any more, looked up right before each sending."""
-    refusal = course.inbound.find_refusal()
+    """Return why the request must not be sent; called immediately before each send."""
+    refusal = request.inbound.find_refusal()
     if refusal is not None:
         return refusal
-    if crashes.standing(course.fingerprint) is quarantine.Standing.QUARANTINED:
-        # Other gateways have seen it end upstreams since this one chose.
+    if crashes.standing(request.fingerprint) is quarantine.Standing.QUARANTINED:
+        # Crashes that other gateways reported since this one chose the upstream.
         return reasons.Reason.REQUEST_QUARANTINED
     return view.registry.find_refusal(upstream_id)
 
 
-def engine_rank(course: Course, view: subscriber.Subscriber) -> int | None:
-    """Return the rank of a request at an engine; None: its account has none."""
-    account = course.inbound.account
+def engine_rank(request: RelayedRequest, view: subscriber.Subscriber) -> int | None:
+    """Return the request's priority at an engine; None if it has no account."""
+    account = request.inbound.account
     if not account:
         return None
-    return view.routes.precedence_of(course.route, account).engine_rank()
+    return view.routes.precedence_of(request.route, account).engine_rank()
--- a/bilberrydrum/relay/streams.py
+++ b/bilberrydrum/relay/streams.py
@@ -1,10 +1,11 @@
-"""Pass a stream of events on as it comes, and go on elsewhere when it breaks.
-
-A stream that may be resumed goes on at another upstream after its last whole event,
-inside the same answer; the upstream before is let go first, so that no two work on it.
-Any other stream may run once only: it is sent elsewhere only after a promise that it
-has not run, and when it breaks the caller's connection is cut, so that what it got does
-not look complete.
+"""Forward a stream of events as it is received, and resume it if it breaks off.
+
+A resumable stream that breaks off continues at another upstream after its last complete
+event, within the same answer to the caller. The connection to the first upstream is
+closed before, so that no two upstreams work on the stream. Any other stream must not
+run twice: it is sent to another upstream only if the first has stated that it did not
+run the request. If it breaks off, the caller's connection is closed abruptly, so that
+the partial stream cannot be taken for a complete one.
 """
 
 import random
@@ -23,30 +24,33 @@
 )
 from bilberrydrum.fleet import model as fleet_model
 from bilberrydrum.fleet import policy, subscriber
-from bilberrydrum.relay import balancing, courses, crash_watch, model, trial
+from bilberrydrum.relay import balancing, crash_watch, model, relayed_requests, trial
 from bilberrydrum.requests import attempts, examination, outgoing_requests
 from bilberrydrum.usage import meter as usage_meter
 
 _OK: Final = 200
-# Method whose answers have no events.
-_BODILESS: Final = "HEAD"
-# A stream that pauses for this long, in seconds, has lost its upstream: callers abandon
-# one after two seconds at the least.
+# Method whose answers have no body, and so no events.
+_HEAD_METHOD: Final = "HEAD"
+# Pause in a stream, in seconds, after which its upstream is considered lost. Callers
+# abandon a stream that pauses for two seconds or more, so it is resumed elsewhere
+# before.
 STALL_SECONDS: Final = 1.5
-# Ends of an attempt that are no fault of the upstream.
-_NO_FAULT: Final = frozenset(
+# Reasons for a failed attempt that are not counted as the upstream's failure.
+_NOT_UPSTREAM_FAULTS: Final = frozenset(
     {reasons.Reason.UPSTREAM_BUSY, reasons.Reason.REQUEST_QUARANTINED}
 )
-_RULES: Final = courses.Rules("stream", max_rejections=4, retry_after_range=(0.1, 0.4))
+_RULES: Final = relayed_requests.Rules(
+    "stream", max_rejections=4, retry_after_range=(0.1, 0.4)
+)
 
 
 class BrokenError(Exception):
-    """The stream ended early; its caller must see that."""
+    """The stream broke off; its caller must be able to notice that."""
 
 
 @attrs.define
 class _Source:
-    """One upstream's answer, being read."""
+    """One upstream's answer while it is read."""
 
     upstream: fleet_model.FleetUpstream
     outgoing: outgoing_requests.Outgoing
@@ -55,23 +59,27 @@
 
 
 @attrs.define
-class _Course(courses.Course):
-    """How far one stream is."""
+class _RelayedStream(relayed_requests.RelayedRequest):
+    """The state of one stream."""
 
     service: str = ""
-    # When the last attempt was sent, and when its first event was there.
-    tried_at: float = 0.0
+    # Times at which the last attempt began and its first event was received, in seconds
+    # of `clock.now`.
+    attempt_began_at: float = 0.0
     first_event_at: float | None = None
 
     def has_survived(self) -> bool:
-        """Tell whether the last attempt was well for so long that it is cleared."""
+        """Return whether the last attempt streamed events for long enough.
+
+        A crash that comes later than that is not attributed to the request.
+        """
         if self.first_event_at is None:
             return False
         return clock.now() - self.first_event_at >= quarantine.SURVIVED_SECONDS
 
 
 class StreamRelay:
-    """Passes streams on at one gateway."""
+    """Forwards streams at one gateway."""
 
     def __init__(
         self,
@@ -83,7 +91,7 @@
         crashes: crash_watch.CrashWatch,
         meter: usage_meter.Meter | None = None,
     ) -> None:
-        """Make the relay; `meter` is None where use is not counted."""
+        """Make the relay; `meter` is None if usage is not metered."""
         self._meter = meter
         self._protocol = protocol
         self._view = view
@@ -95,11 +103,11 @@
     def handle(
         self, inbound: model.Inbound, route: policy.Route
     ) -> model.Streamed | model.Answered | model.Refused:
-        """Return a stream that has begun, an upstream's own refusal, or why none."""
+        """Return the stream, an upstream's error answer, or a refusal."""
         deadline = min(inbound.deadline, clock.now() + route.timeout_seconds)
         service = route.choose_service(self._rng)
         last_number = self._protocol.last_event_number(inbound.headers)
-        course = _Course(
+        request = _RelayedStream(
             _RULES,
             inbound,
             route,
@@ -109,72 +117,74 @@
             service=service,
             last_number=last_number,
         )
-        while course.may_go_on():
-            source = self._open(course)
+        while request.may_attempt():
+            source = self._open(request)
             if source is None:
                 continue
             if source.answer.status == _OK:
-                headers = outgoing_requests.passed_back(source.answer.headers)
-                return model.Streamed(headers, self._events(course, source))
-            return self._whole_refusal(source)
-        return course.refusal(self._view, self._rng)
-
-    def _open(self, course: _Course) -> _Source | None:
-        """Begin an attempt; None: it gave nothing to be passed on."""
-        upstreams = self._view.registry.of_service(course.service)
-        refusal = trial.find_refusal(course, self._crashes, self._balancer, upstreams)
+                headers = outgoing_requests.end_to_end_headers(source.answer.headers)
+                return model.Streamed(headers, self._events(request, source))
+            return self._read_error_answer(source)
+        return request.refusal(self._view, self._rng)
+
+    def _open(self, request: _RelayedStream) -> _Source | None:
+        """Begin an attempt; return None if it gave no answer to forward."""
+        upstreams = self._view.registry.of_service(request.service)
+        refusal = trial.find_refusal(request, self._crashes, self._balancer, upstreams)
         if refusal is not None:
-            course.refuse(refusal)
+            request.refuse(refusal)
             return None
         now = clock.now()
-        upstream = self._balancer.choose(upstreams, course.excluded_ids, now)
+        upstream = self._balancer.choose(upstreams, request.excluded_ids, now)
         if upstream is None:
-            course.stop()
+            request.stop()
             return None
-        course.excluded_ids.add(upstream.upstream_id)
-        course.tried_at = now
-        course.first_event_at = None
-        outgoing = self._outgoing(course, upstream)
-        with usage_meter.attempt(self._meter, course.inbound.account) as counted:
-            n_run = course.n_run
-            source = self._send(course, upstream, outgoing)
-            if course.n_run > n_run:
+        request.excluded_ids.add(upstream.upstream_id)
+        request.attempt_began_at = now
+        request.first_event_at = None
+        outgoing = self._outgoing(request, upstream)
+        with usage_meter.attempt(self._meter, request.inbound.account) as counted:
+            n_run = request.n_run
+            source = self._send(request, upstream, outgoing)
+            if request.n_run > n_run:
                 counted.began_at = outgoing.sent_at
         return source
 
     def _send(
         self,
-        course: _Course,
+        request: _RelayedStream,
         upstream: fleet_model.FleetUpstream,
         outgoing: outgoing_requests.Outgoing,
     ) -> _Source | None:
         self._balancer.begin(upstream.upstream_id)
         try:
-            with attempts.waiting(self._means, outgoing):
+            with attempts.bounded_wait(self._means, outgoing):
                 connection, answer = attempts.open_answer(
                     self._means.pool, upstream.address, outgoing
                 )
         except attempts.AttemptError as error:
             self._balancer.end(upstream.upstream_id)
-            self._failed(course, upstream, error.reason, error.may_have_run)
+            self._handle_failure(request, upstream, error.reason, error.may_have_run)
             if error.may_have_run:
-                self._note_broken(course, upstream, error.reason)
+                self._record_broken_run(request, upstream, error.reason)
             return None
         except BaseException:
             self._balancer.end(upstream.upstream_id)
             raise
-        return self._taken(course, _Source(upstream, outgoing, connection, answer))
+        return self._accept_answer(
+            request, _Source(upstream, outgoing, connection, answer)
+        )
 
     def _outgoing(
-        self, course: _Course, upstream: fleet_model.FleetUpstream
+        self, request: _RelayedStream, upstream: fleet_model.FleetUpstream
     ) -> outgoing_requests.Outgoing:
-        inbound = course.inbound
+        inbound = request.inbound
         attempt = upstream_protocol.Attempt(
             inbound.request_id,
             upstream.announced_id,
-            course.deadline - clock.now(),
-            course.last_number,
-            priority=courses.engine_rank(course, self._view),
+            request.deadline - clock.now(),
+            request.last_number,
+            priority=relayed_requests.engine_rank(request, self._view),
             account=inbound.account,
         )
         return outgoing_requests.Outgoing(
@@ -183,141 +193,146 @@
             inbound.target,
             self._protocol.relay_headers(inbound.headers, attempt),
             inbound.body,
-            course.deadline,
+            request.deadline,
             True,
-            lambda: courses.find_refusal(
-                course, self._crashes, self._view, upstream.upstream_id
+            lambda: relayed_requests.find_refusal(
+                request, self._crashes, self._view, upstream.upstream_id
             ),
             inbound.is_client_gone,
             id_header=self._protocol.request_id_header,
             accepts_unframed=True,
-            may_repeat=course.route.is_resumable,
-            uses_kept=course.route.is_resumable,
+            may_repeat=request.route.is_resumable,
+            may_use_kept=request.route.is_resumable,
         )
 
-    def _taken(self, course: _Course, source: _Source) -> _Source | None:
+    def _accept_answer(
+        self, request: _RelayedStream, source: _Source
+    ) -> _Source | None:
         head = self._protocol.read_head(source.answer.headers)
         is_stream = source.answer.status == _OK
         if head.was_not_run or (is_stream and not head.is_genuine):
-            self._let_go(source)
+            self._release(source)
             may_have_run = not head.was_not_run
             reason = reasons.Reason.UPSTREAM_BUSY
-            self._failed(course, source.upstream, reason, may_have_run)
+            self._handle_failure(request, source.upstream, reason, may_have_run)
             return None
-        course.n_run += 1
-        if is_stream or not (course.route.is_resumable and course.may_go_on()):
+        request.n_run += 1
+        if is_stream or not (request.route.is_resumable and request.may_attempt()):
             return source
-        self._let_go(source)
+        self._release(source)
         reason = reasons.Reason.UPSTREAM_ERROR
-        course.note_failure(source.upstream.upstream_id, reason, self._view)
+        request.record_failure(source.upstream.upstream_id, reason, self._view)
         return None
 
-    def _events(self, course: _Course, source: _Source) -> Iterator[bytes]:
-        """Yield the events' bytes; raise if the stream does not end whole."""
+    def _events(self, request: _RelayedStream, source: _Source) -> Iterator[bytes]:
+        """Yield the bytes of each event; raise if the stream ends incomplete."""
         current: _Source | None = source
         while current is not None:
             try:
-                yield from self._read(course, current)
+                yield from self._read(request, current)
                 return
             except (attempts.AttemptError, event_stream.EventError) as error:
                 reason = getattr(error, "reason", reasons.Reason.ANSWER_TRUNCATED)
-                self._failed(course, current.upstream, reason, False)
-                self._note_broken(course, current.upstream, reason)
+                self._handle_failure(request, current.upstream, reason, False)
+                self._record_broken_run(request, current.upstream, reason)
             finally:
-                self._let_go(current)
-            current = self._reopen(course)
-        counters.refused(course.last_reason)
-        raise BrokenError(course.last_reason.value)
-
-    def _reopen(self, course: _Course) -> _Source | None:
-        while course.may_go_on():
-            source = self._open(course)
+                self._release(current)
+            current = self._reopen(request)
+        counters.refused(request.last_reason)
+        raise BrokenError(request.last_reason.value)
+
+    def _reopen(self, request: _RelayedStream) -> _Source | None:
+        while request.may_attempt():
+            source = self._open(request)
             if source is not None and source.answer.status == _OK:
                 return source
             if source is not None:
-                self._let_go(source)
+                self._release(source)
         return None
 
-    def _read(self, course: _Course, source: _Source) -> Iterator[bytes]:
-        # Not asked to go on after an event, a stream begins with event 1; one that
-        # begins later, read as whole, would lack its beginning.
+    def _read(self, request: _RelayedStream, source: _Source) -> Iterator[bytes]:
+        # A stream that is not resumed must begin with event 1. Without this check, one
+        # that begins later would be forwarded as complete although its beginning is
+        # missing.
         reader = event_stream.EventReader(
-            self._protocol.version_field, course.last_number or 0
+            self._protocol.version_field, request.last_number or 0
         )
         parts = attempts.read_parts(source.answer)
-        patience = max(STALL_SECONDS, course.route.target_latency_seconds * 4)
+        max_wait = max(STALL_SECONDS, request.route.target_latency_seconds * 4)
         while True:
-            with attempts.waiting(self._means, source.outgoing, patience):
+            with attempts.bounded_wait(self._means, source.outgoing, max_wait):
                 part = next(parts, None)
             if part is None:
                 break
             for event in reader.feed(part):
-                if course.first_event_at is None:
-                    course.first_event_at = clock.now()
-                course.last_number = event.number
+                if request.first_event_at is None:
+                    request.first_event_at = clock.now()
+                request.last_number = event.number
                 yield event.raw
         if not reader.is_between_events():
-            raise event_stream.EventError("ended in the middle of an event")
-        if course.first_event_at is None and not _may_lack_events(course, source):
-            # An upstream that ends before its first event may close in order: half a
-            # stream would look whole. Its caller sees a break, which is no false end.
-            raise event_stream.EventError("ended without an event")
+            raise event_stream.EventError("stream ended in the middle of an event")
+        if request.first_event_at is None and not _may_be_empty(request, source):
+            # An upstream that crashes before its first event may still close the
+            # connection in order. If that were taken for the end, the caller would get
+            # a partial or empty stream as complete; so it is handled as a break.
+            raise event_stream.EventError("stream ended without an event")
         head = self._protocol.read_head(source.answer.headers)
         self._balancer.succeeded(source.upstream.upstream_id, head, clock.now())
-        self._crashes.was_answered(course.fingerprint)
+        self._crashes.was_answered(request.fingerprint)
 
-    def _let_go(self, source: _Source) -> None:
-        """Close the connection, which ends the work at the upstream."""
+    def _release(self, source: _Source) -> None:
+        """Close the connection, which cancels the work at the upstream."""
         if source.connection is not None:
             source.connection.close()
             source.connection = None
             self._balancer.end(source.upstream.upstream_id)
 
-    def _whole_refusal(self, source: _Source) -> model.Answered | model.Refused:
-        """Pass on an upstream's own failure, unchanged."""
+    def _read_error_answer(self, source: _Source) -> model.Answered | model.Refused:
+        """Read an upstream's error answer, to be forwarded unchanged."""
         try:
-            with attempts.waiting(self._means, source.outgoing):
+            with attempts.bounded_wait(self._means, source.outgoing):
                 body = b"".join(attempts.read_parts(source.answer))
         except attempts.AttemptError as error:
             return model.Refused(error.reason, True)
         finally:
-            self._let_go(source)
-        headers = outgoing_requests.passed_back(source.answer.headers)
+            self._release(source)
+        headers = outgoing_requests.end_to_end_headers(source.answer.headers)
         return model.Answered(source.answer.status, headers, body)
 
-    def _note_broken(
+    def _record_broken_run(
         self,
-        course: _Course,
+        request: _RelayedStream,
         upstream: fleet_model.FleetUpstream,
         reason: reasons.Reason,
     ) -> None:
-        if course.has_survived():
-            self._crashes.was_answered(course.fingerprint)
+        if request.has_survived():
+            self._crashes.was_answered(request.fingerprint)
         elif reason in examination.BROKEN:
-            seconds = clock.now() - course.tried_at
-            self._crashes.run_broke(course.broken_run(upstream, seconds))
+            seconds = clock.now() - request.attempt_began_at
+            self._crashes.run_broke(request.broken_run(upstream, seconds))
 
-    def _failed(
+    def _handle_failure(
         self,
-        course: _Course,
+        request: _RelayedStream,
         upstream: fleet_model.FleetUpstream,
         reason: reasons.Reason,
         may_have_run: bool,
     ) -> None:
-        course.count(may_have_run)
-        if reason in courses.FINAL_REASONS:
-            course.stop()
-        elif reason not in _NO_FAULT:
+        request.count_failed_attempt(may_have_run)
+        if reason in relayed_requests.FINAL_REASONS:
+            request.stop()
+        elif reason not in _NOT_UPSTREAM_FAULTS:
             self._balancer.failed(upstream.upstream_id, clock.now())
-        course.note_failure(upstream.upstream_id, reason, self._view)
+        request.record_failure(upstream.upstream_id, reason, self._view)
 
 
-def _may_lack_events(course: _Course, source: _Source) -> bool:
-    """Tell whether an answer that has ended without an event ends the stream.
+def _may_be_empty(request: _RelayedStream, source: _Source) -> bool:
+    """Return whether an answer without any event is the regular end of the stream.
 
-    Asked to go on after the very last event, an upstream has nothing to add, and says
-    so by its answer's length or last chunk. A closed connection says nothing.
+    An upstream that is asked to resume after the very last event has nothing to add,
+    and confirms that by the answer's length or last chunk. An answer without either
+    ends when the connection closes, which happens after a crash as well.
     """
-    if course.inbound.method == _BODILESS:
+    if request.inbound.method == _HEAD_METHOD:
         return True
-    return bool(course.last_number) and attempts.is_framed(source.answer)
+    return bool(request.last_number) and attempts.is_framed(source.answer)
--- a/bilberrydrum/relay/trial.py
+++ b/bilberrydrum/relay/trial.py
@@ -9,11 +9,11 @@
 
 from bilberrydrum import clock, quarantine, reasons
 from bilberrydrum.fleet import model as fleet_model
-from bilberrydrum.relay import balancing, courses, crash_watch
+from bilberrydrum.relay import balancing, crash_watch, relayed_requests
 
 
 def find_refusal(
-    course: courses.Course,
+    course: relayed_requests.RelayedRequest,
     crashes: crash_watch.CrashWatch,
     balancer: balancing.Balancer,
     upstreams: list[fleet_model.FleetUpstream],
@@ -36,7 +36,7 @@
 
 def _find_refusal(
     standing: quarantine.Standing,
-    course: courses.Course,
+    course: relayed_requests.RelayedRequest,
     crashes: crash_watch.CrashWatch,
     balancer: balancing.Balancer,
     upstreams: list[fleet_model.FleetUpstream],
--- a/bilberrydrum/requests/attempts.py
+++ b/bilberrydrum/requests/attempts.py
@@ -1,9 +1,9 @@
-"""One attempt at one upstream: what goes out, what comes back, and what it means.
+"""Make one attempt at one upstream: send the request, read and check the answer.
 
-An attempt uses one connection and sends a request once; only if a kept connection turns
-out to be closed, a request that may be repeated is sent again on a fresh one. Its error
-tells whether a byte may have gone out: only when none has is the request known not to
-have run.
+An attempt uses one connection and sends the request once. There is one exception: if a
+reused connection turns out to be closed, a request that may be repeated is sent again
+on a fresh connection. `AttemptError` says whether a byte of the request may have been
+sent; the request is known not to have run only if none was.
 """
 
 import contextlib
@@ -25,25 +25,29 @@
     watch,
 )
 
-# Time that connecting to an upstream may take.
+# Longest time for connecting to an upstream, in seconds.
 CONNECT_SECONDS: Final = 2.0
-# A stream that has begun and stops for longer than a swap of weights takes is one of an
-# engine that hangs. It is broken off, so that another engine can go on.
+# Longest pause within a stream after its first bytes, in seconds. An engine that swaps
+# its weights pauses its streams, but for less than this. An engine that sends nothing
+# for longer hangs, and its callers would wait until their deadlines; so the stream is
+# broken off, and another engine can resume it.
 STALL_SECONDS: Final = 20.0
-# A kept connection that the upstream had dropped is reset within a round trip of the
-# sending; what breaks later than this, in seconds, may be a run that was cut short.
+# A reused connection that the upstream had dropped is reset within one round trip after
+# the request was sent. If it breaks later than this, in seconds, the upstream may have
+# run a part of the request, so the request is not sent again.
 STALE_SECONDS: Final = 0.25
-# An idle connection is given up this long before the upstream says that it closes it.
+# An idle connection is closed this long before the time, announced by the upstream, at
+# which the upstream closes it.
 KEEP_ALIVE_MARGIN_SECONDS: Final = 1.0
-# Largest answer of a plain service.
+# Largest body of an answer, in bytes.
 MAX_ANSWER_BYTES: Final = 64 * 1024 * 1024
 _READ_BYTES: Final = 64 * 1024
-# Statuses by which a service says that another one might do better.
+# Statuses after which another instance of the service may succeed.
 _FAILED_STATUSES: Final = frozenset({502, 503, 504})
 
 
 class AttemptError(Exception):
-    """The attempt gave no whole answer."""
+    """The attempt ended without a complete, successful answer."""
 
     def __init__(
         self,
@@ -59,36 +63,38 @@
         self.may_have_run = may_have_run
         self.detail = detail
         self.retry_after_seconds = retry_after_seconds
-        # A whole answer by which the upstream says that it failed.
+        # The complete answer by which the upstream reported its failure, if any.
         self.answer = answer
-        # It was decided here not to send, or not to go on; no fault of the upstream's.
+        # This process decided not to send the request, or to cancel it; the upstream
+        # did not fail.
         self.is_refusal = is_refusal
 
 
 @attrs.frozen
 class Means:
-    """What attempts are made with."""
+    """The connections and the client checks that all attempts of a process share."""
 
-    pool: connections.Connections
-    clients: watch.Watch
+    pool: connections.ConnectionPool
+    clients: watch.ClientWatch
 
 
 @contextlib.contextmanager
-def waiting(
-    means: Means, outgoing: outgoing_requests.Outgoing, patience: float = math.inf
+def bounded_wait(
+    means: Means, outgoing: outgoing_requests.Outgoing, max_wait: float = math.inf
 ) -> Iterator[None]:
-    """End the block with an error at the deadline, or when the client is gone.
+    """Raise `AttemptError` in the block at the deadline, or when the client is gone.
 
-    `patience` is the longest time to wait, in seconds, whatever the deadline.
+    `max_wait` limits the time in the block, in seconds, in addition to the deadline.
     """
     remaining = max(0.0, outgoing.deadline - clock.now())
-    timeout = eventlet.Timeout(min(remaining, patience))
+    timeout = eventlet.Timeout(min(remaining, max_wait))
     is_client_gone = outgoing.is_client_gone
     if not outgoing.is_idempotent:
-        # What may run once only is not broken off: its result is kept for the retry.
+        # A request that must not run twice is not cancelled: its result is kept for the
+        # client's retry.
         is_client_gone = model.never
     try:
-        with means.clients.watching(is_client_gone):
+        with means.clients.ending_with_client(is_client_gone):
             yield
     except watch.ClientGoneError as error:
         raise AttemptError(
@@ -105,14 +111,14 @@
 
 
 def open_answer(
-    pool: connections.Connections, address: str, outgoing: outgoing_requests.Outgoing
+    pool: connections.ConnectionPool, address: str, outgoing: outgoing_requests.Outgoing
 ) -> tuple[connections.Connection, Any]:
-    """Send `outgoing` and return the connection and the answer's head.
+    """Send `outgoing`; return the connection, and the answer of which the head is read.
 
     Raises
     ------
     AttemptError
-        If there is no answer.
+        If no head of an answer was received.
     """
     taken = _connect(pool, address, outgoing)
     sent_at = clock.now()
@@ -125,21 +131,23 @@
         if not (taken.is_kept and is_reset and is_young and outgoing.may_repeat):
             raise
     except BaseException:
-        # What may still come belongs to this request; nobody else may read it.
+        # An answer to this request may still arrive on the connection. If the
+        # connection were reused, the next request would read it.
         taken.connection.close()
         raise
-    return _open_again(pool, address, outgoing)
+    return _resend(pool, address, outgoing)
 
 
-def _open_again(
-    pool: connections.Connections, address: str, outgoing: outgoing_requests.Outgoing
+def _resend(
+    pool: connections.ConnectionPool, address: str, outgoing: outgoing_requests.Outgoing
 ) -> tuple[connections.Connection, Any]:
     """Send `outgoing` once more, on a fresh connection.
 
-    An upstream, or something on the way to it, may drop an idle connection without a
-    word; what is sent next on it is reset. Taken for a failure of the upstream, it
-    would use up one of the request's attempts and have the upstream passed over. The
-    others that are kept have most likely been dropped as well.
+    An upstream, or a device on the network path, may drop an idle connection without
+    closing it; the next request on it is reset. If that counted as a failure of the
+    upstream, it would use up one of the request's attempts and put a healthy upstream
+    into backoff. The other idle connections to the upstream have most likely been
+    dropped as well, so they are closed.
     """
     pool.forget(address)
     try:
@@ -154,8 +162,8 @@
 
 
 def _connect(
-    pool: connections.Connections, address: str, outgoing: outgoing_requests.Outgoing
-) -> connections.Taken:
+    pool: connections.ConnectionPool, address: str, outgoing: outgoing_requests.Outgoing
+) -> connections.TakenConnection:
     remaining = outgoing.deadline - clock.now()
     if remaining <= 0:
         raise AttemptError(reasons.Reason.UPSTREAM_TIMEOUT, False)
@@ -163,7 +171,7 @@
         return pool.take(
             address,
             timeout=min(CONNECT_SECONDS, remaining),
-            fresh=not (outgoing.is_idempotent and outgoing.uses_kept),
+            fresh=not (outgoing.is_idempotent and outgoing.may_use_kept),
         )
     except (OSError, urllib3.exceptions.HTTPError) as error:
         raise AttemptError(reasons.Reason.CONNECT_FAILED, False, str(error)) from error
@@ -173,12 +181,12 @@
     connection: connections.Connection, outgoing: outgoing_requests.Outgoing
 ) -> Any:
     # Connecting may have taken long, and the process may have been stopped since the
-    # request was admitted or claimed. Once another bundle may be in force, or the claim
-    # may be held for lost by other gateways, the request must not go out any more; so
-    # this is asked with the connection in hand.
+    # request was admitted or claimed. Meanwhile another bundle may have come into
+    # force, or other gateways may consider the claim lost; then the request must not be
+    # sent. This is therefore checked after connecting, immediately before the send.
     refusal = outgoing.find_refusal()
     if refusal is not None:
-        raise AttemptError(refusal, False, "not sent", is_refusal=True)
+        raise AttemptError(refusal, False, "request was not sent", is_refusal=True)
     outgoing.sent_at = clock.now()
     try:
         connection.request(
@@ -202,17 +210,22 @@
     given = answer.headers.get(outgoing.id_header)
     if given is not None and given != outgoing.request_id:
         raise AttemptError(
-            reasons.Reason.ANSWER_MISMATCHED, True, f"answer for {given!r}"
+            reasons.Reason.ANSWER_MISMATCHED,
+            True,
+            f"expected an answer to request {outgoing.request_id!r}, got one to"
+            f" {given!r}",
         )
 
 
 def read_parts(answer: Any) -> Iterator[bytes]:
-    """Yield the answer's body as it comes; it has ended whole when this ends.
+    """Yield the parts of the answer's body as they are received.
 
     Raises
     ------
     AttemptError
-        If the body ends early.
+        If the body is truncated. If the iterator ends without this error, the body is
+        complete, except that an answer without length or chunks may lack its end after
+        a crash (see `is_framed`).
     """
     try:
         while part := answer.read1(_READ_BYTES):
@@ -224,25 +237,27 @@
 
 
 def is_framed(answer: Any) -> bool:
-    """Tell whether the answer itself says where it ends, by a length or by chunks.
+    """Return whether the answer marks its own end, by a length or by chunks.
 
-    Any other one ends with its connection. A length that is no number is none.
+    Any other answer ends where its connection is closed. A length that is not a number
+    does not count.
     """
     encoding = answer.headers.get("Transfer-Encoding", "").lower()
     return encoding == "chunked" or answer.length_remaining is not None
 
 
-def settle(
-    pool: connections.Connections,
+def keep_or_close(
+    pool: connections.ConnectionPool,
     address: str,
     connection: connections.Connection,
     answer: Any,
     is_named: bool,
 ) -> None:
-    """Keep the connection if its answer named the request, else close it.
+    """Keep the connection for reuse if its answer carried the request's id.
 
-    An upstream that answers twice is told by the ids only; on a connection without
-    them the second answer would be taken for that to the next request.
+    Otherwise close it. An upstream may answer a request twice, and only the ids show
+    that: on a connection without ids, the second answer would be read as the answer to
+    the next request.
     """
     closes = answer.headers.get("Connection", "").lower() == "close"
     framed = "Content-Length" in answer.headers or "Transfer-Encoding" in answer.headers
@@ -253,8 +268,8 @@
         connection.close()
 
 
-class Target(Protocol):
-    """Where an attempt is sent."""
+class Endpoint(Protocol):
+    """The upstream that an attempt is sent to."""
 
     @property
     def upstream_id(self) -> str:
@@ -267,59 +282,66 @@
 
 def call(
     means: Means,
-    upstream: Target,
+    upstream: Endpoint,
     outgoing: outgoing_requests.Outgoing,
 ) -> model.ApplicationAnswer:
-    """Make one call and return its whole answer.
+    """Make one attempt and return the complete answer.
 
     Raises
     ------
     AttemptError
-        If there is no whole answer.
+        If there is no complete answer, or if it reports that the service failed.
     """
-    with waiting(means, outgoing):
+    with bounded_wait(means, outgoing):
         connection, answer = open_answer(means.pool, upstream.address, outgoing)
         try:
-            body = _read_whole(answer, outgoing)
+            body = _read_complete(answer, outgoing)
         except BaseException:
             connection.close()
             raise
         is_named = outgoing.id_header in answer.headers
-        settle(means.pool, upstream.address, connection, answer, is_named)
-    headers = outgoing_requests.passed_back(answer.headers)
-    whole = model.ApplicationAnswer(
+        keep_or_close(means.pool, upstream.address, connection, answer, is_named)
+    headers = outgoing_requests.end_to_end_headers(answer.headers)
+    complete = model.ApplicationAnswer(
         answer.status, headers, body, upstream.upstream_id, is_named
     )
     if outgoing.is_idempotent and answer.status in _FAILED_STATUSES:
         detail = f"status {answer.status}"
-        raise AttemptError(reasons.Reason.UPSTREAM_ERROR, True, detail, answer=whole)
-    return whole
+        raise AttemptError(reasons.Reason.UPSTREAM_ERROR, True, detail, answer=complete)
+    return complete
 
 
-def _read_whole(answer: Any, outgoing: outgoing_requests.Outgoing) -> bytes:
+def _read_complete(answer: Any, outgoing: outgoing_requests.Outgoing) -> bytes:
     has_no_body = outgoing.method == "HEAD" or answer.status in (204, 304)
     length = answer.headers.get("Content-Length")
     chunked = "chunked" in answer.headers.get("Transfer-Encoding", "").lower()
     is_framed = has_no_body or length is not None or chunked
     if not is_framed and not outgoing.accepts_unframed:
-        # Only the closing of the connection would end this body, which looks the same
-        # whether the upstream had said all or crashed.
+        # Such a body ends when the connection closes, which looks the same whether the
+        # upstream has sent all of it or has crashed.
         raise AttemptError(
-            reasons.Reason.ANSWER_TRUNCATED, True, "no length and no chunks"
+            reasons.Reason.ANSWER_TRUNCATED,
+            True,
+            "expected an answer with a length or chunks, got neither",
         )
     parts, n_bytes = [], 0
     for part in read_parts(answer):
         n_bytes += len(part)
         if n_bytes > MAX_ANSWER_BYTES:
-            # It is held in memory until it is known to be whole.
-            raise AttemptError(reasons.Reason.UPSTREAM_ERROR, True, "answer too large")
+            # The answer is held in memory until it is complete, so its size is bounded.
+            raise AttemptError(
+                reasons.Reason.UPSTREAM_ERROR,
+                True,
+                f"answer too large: got {n_bytes} bytes or more, expected at most"
+                f" {MAX_ANSWER_BYTES}",
+            )
         parts.append(part)
     return b"".join(parts)
 
 
 def stream(
     means: Means,
-    upstream: Target,
+    upstream: Endpoint,
     outgoing: outgoing_requests.Outgoing,
 ) -> Generator[model.StreamEvent, None, None]:
     """Yield the events of one engine's answer; the last is `Finished`.
@@ -329,42 +351,49 @@
     Raises
     ------
     AttemptError
-        If the stream does not end whole.
+        If the stream ends incomplete.
     """
-    with waiting(means, outgoing):
+    with bounded_wait(means, outgoing):
         connection, answer = open_answer(means.pool, upstream.address, outgoing)
-    is_whole = False
+    is_complete = False
     try:
         _check_status(answer)
         reader = events.StreamReader(outgoing.request_id, upstream.upstream_id)
         parts = read_parts(answer)
-        # The first token may wait in the engine's queue for as long as the call may.
-        patience = math.inf
+        # Until the first bytes arrive, the call may wait in the engine's queue; only
+        # the deadline bounds this wait.
+        max_wait = math.inf
         while True:
-            with waiting(means, outgoing, patience):
+            with bounded_wait(means, outgoing, max_wait):
                 part = next(parts, None)
             if part is None:
                 break
-            patience = STALL_SECONDS
+            max_wait = STALL_SECONDS
             yield from _feed(reader, part)
         if not reader.is_done:
             raise AttemptError(
-                reasons.Reason.ANSWER_TRUNCATED, True, "ended without its marker"
+                reasons.Reason.ANSWER_TRUNCATED,
+                True,
+                "stream ended without its [DONE] marker",
             )
-        is_whole = True
+        is_complete = True
     finally:
-        if is_whole:
-            # Each event named the request, so nothing else can have been read.
-            settle(means.pool, upstream.address, connection, answer, is_named=True)
+        if is_complete:
+            # Each event carried the request's id, so no other answer can have been
+            # read.
+            keep_or_close(
+                means.pool, upstream.address, connection, answer, is_named=True
+            )
         else:
             connection.close()
 
 
 def _idle_seconds(keep_alive: str) -> float:
-    """Return for how long an idle connection may be used again.
+    """Return for how long an idle connection may be reused, in seconds.
 
-    An upstream that names its timeout closes the connection then; a request on its way
-    at that moment is lost with unknown outcome, so the last second is not used.
+    An upstream that announces an idle timeout closes the connection at that time. A
+    request that is on its way at that moment is lost with unknown outcome, so the
+    connection is not reused in the last second before.
     """
     for part in keep_alive.split(","):
         name, _, value = part.strip().partition("=")
@@ -385,11 +414,12 @@
         return
     detail = f"status {answer.status}"
     if answer.status == 503:
-        wait = _seconds(answer.headers.get("Retry-After", ""))
-        # An engine that says so has not begun: the contract of its interface.
+        wait = _retry_after_seconds(answer.headers.get("Retry-After", ""))
+        # By the contract of the engines' interface, an engine that answers 503 has not
+        # begun to run the request.
         raise AttemptError(reasons.Reason.UPSTREAM_BUSY, False, detail, wait)
     raise AttemptError(reasons.Reason.UPSTREAM_ERROR, True, detail)
 
 
-def _seconds(text: str) -> float:
+def _retry_after_seconds(text: str) -> float:
     return float(text) if text.isdecimal() else 1.0
--- a/bilberrydrum/requests/calls.py
+++ b/bilberrydrum/requests/calls.py
@@ -1,4 +1,4 @@
-"""What a call needs of its upstream, by the kind of call."""
+"""Properties of a call that depend on its kind: need, cost, priority, fingerprint."""
 
 import functools
 import hashlib
@@ -7,7 +7,8 @@
 from bilberrydrum.requests import fingerprints, model, routing
 from bilberrydrum.upstreams import model as upstream_model
 
-# Form of a prefix in engines' cache events.
+# Engines name a prompt's prefix in their cache events by this many digits of the digest
+# of this many of its first bytes.
 PREFIX_BYTES: Final = 256
 PREFIX_DIGITS: Final = 16
 
@@ -17,7 +18,9 @@
 @functools.singledispatch
 def need_of(call: object) -> routing.Need:
     """Return what `call` needs of its upstream."""
-    raise TypeError(f"no call: {type(call).__name__}")
+    raise TypeError(
+        f"expected a ModelCall or an ApplicationCall, got {type(call).__name__}"
+    )
 
 
 @need_of.register
@@ -40,7 +43,7 @@
 
 @functools.singledispatch
 def cost_of(call: object) -> float:
-    """Return what `call` is expected to take of the capacity."""
+    """Return the expected cost of `call`: tokens of a model call, 1 of any other."""
     return 1.0
 
 
@@ -51,17 +54,18 @@
 
 
 def priority_of(call: Call) -> int:
-    """Return the call's place among those of its client; lower goes first."""
+    """Return the call's priority among the calls of its client; lower goes first."""
     if isinstance(call, model.ModelCall) and call.resume_token_ids:
-        # Its client holds a part of the answer already. Behind new calls, or refused
-        # for a full queue, the tokens made so far would have been made for nothing.
+        # The client has received a part of the answer already. If the call waited
+        # behind new calls until its deadline, or were refused because the queue is
+        # full, the tokens generated so far would be wasted.
         return call.priority - 1
     return call.priority
 
 
 @functools.singledispatch
 def prefix_of(call: object) -> str:
-    """Return the name under which engines report the prefix of the call's prompt."""
+    """Return the digest by which engines report the prefix of the call's prompt."""
     return ""
 
 
@@ -73,8 +77,10 @@
 
 @functools.singledispatch
 def subject_of(call: object) -> str:
-    """Return what `call` asks for, as an operator reads it."""
-    raise TypeError(f"no call: {type(call).__name__}")
+    """Return a description of `call` for operators."""
+    raise TypeError(
+        f"expected a ModelCall or an ApplicationCall, got {type(call).__name__}"
+    )
 
 
 @subject_of.register
@@ -89,13 +95,15 @@
 
 @functools.singledispatch
 def fingerprint_of(call: object) -> str:
-    """Return what is the same for all calls of a client for the same work."""
-    raise TypeError(f"no call: {type(call).__name__}")
+    """Return a digest that all calls of a client for the same work have in common."""
+    raise TypeError(
+        f"expected a ModelCall or an ApplicationCall, got {type(call).__name__}"
+    )
 
 
 @fingerprint_of.register
 def _(call: model.ModelCall) -> str:
-    # Not the tokens made already: the work goes on where it stopped.
+    # The tokens generated so far are left out: a resumed call is the same work.
     what = f"{call.adapter}/{call.max_tokens}"
     return fingerprints.of_request(
         "generate", call.model, what, call.client, call.prompt.encode()
--- a/bilberrydrum/requests/connections.py
+++ b/bilberrydrum/requests/connections.py
@@ -1,8 +1,8 @@
-"""Connections to upstreams, kept for reuse while nothing can be left on them.
+"""A pool of connections to upstreams, reused only if no answer can be left on them.
 
-A connection is kept only after a whole answer that named the request it belongs to. A
-late or doubled answer on a connection that was given up on would otherwise be read as
-the answer to the next request, and reach the wrong caller.
+A connection is kept for reuse only after a complete answer that carried the id of its
+request. Otherwise a late or duplicate answer could still arrive on the connection; it
+would be read as the answer to the next request, and reach the wrong caller.
 """
 
 import collections
@@ -17,31 +17,35 @@
 
 from bilberrydrum import clock
 
-# Idle connections kept for one upstream.
+# Most idle connections kept for one upstream.
 MAX_IDLE: Final = 64
-# Idle time after which a connection is not used again: many servers close theirs after
-# some seconds, and a request sent into that closing is lost with unknown outcome.
+# Idle time after which a connection is not reused, in seconds. Many servers close idle
+# connections after some seconds, and a request that is sent at that moment is lost with
+# unknown outcome.
 MAX_IDLE_SECONDS: Final = 4.0
 
-# Upstreams whose idle connections are looked through when one is kept.
-_N_LOOKED_THROUGH: Final = 4
+# Number of upstreams whose idle connections are checked for expiry each time that a
+# connection is kept.
+_N_SWEPT_PER_KEEP: Final = 4
 
-# It logs a warning with a traceback for each damaged answer; those are counted here.
+# urllib3 logs a warning with a traceback for each malformed answer. They are counted
+# and logged as failed attempts here, so these warnings are turned off.
 logging.getLogger("urllib3.connection").setLevel(logging.ERROR)
 
 Connection = urllib3.connection.HTTPConnection
 
 
 class _Socket(eventlet.greenio.GreenSocket):  # type: ignore[misc]
-    """A socket on which a reset is an error.
+    """A socket that raises an error if its connection is reset.
 
-    eventlet's own reads a reset as an end. An answer that ends with its connection then
-    looks whole where it was broken off by a reset. A process that is killed may still
-    have its connections closed in order; nothing here can tell that.
+    eventlet's own socket reports a reset as the end of the data. An answer that ends
+    when its connection closes would then look complete although a reset truncated it.
+    The connections of a process that is killed may still be closed in order, which
+    can't be detected here.
     """
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-        """Read into `buffer`; 0 only if the peer has closed in order."""
+        """Read into `buffer`; return 0 only if the peer closed in order."""
         while True:
             try:
                 n_read: int = self.fd.recv_into(buffer, nbytes, flags)
@@ -51,26 +55,26 @@
 
 
 @attrs.frozen
-class Taken:
-    """A connection that is ready for a request."""
+class TakenConnection:
+    """A connection that was taken from the pool or opened, ready for a request."""
 
     connection: Connection
-    # It was kept since an earlier request; the upstream may have dropped it.
+    # It was used by an earlier request; the upstream may have dropped it since.
     is_kept: bool
 
 
 @attrs.frozen
 class _Idle:
     connection: Connection
-    # When it is given up.
+    # Time after which it is closed, in seconds of `clock.now`.
     until: float
 
 
-class Connections:
+class ConnectionPool:
     """The connections of one gateway to all upstreams."""
 
     def __init__(self) -> None:
-        # Those that were not looked through for the longest time first.
+        # Ordered by the time of the last check for expired connections, oldest first.
         self._idle_by_address: collections.OrderedDict[
             str, collections.deque[_Idle]
         ] = collections.OrderedDict()
@@ -80,7 +84,9 @@
         """Number of connections that are kept."""
         return sum(len(idle) for idle in self._idle_by_address.values())
 
-    def take(self, address: str, timeout: float, fresh: bool = False) -> Taken:
+    def take(
+        self, address: str, timeout: float, fresh: bool = False
+    ) -> TakenConnection:
         """Return a connected connection to `address`.
 
         Parameters
@@ -88,10 +94,10 @@
         address : str
             ``IP:port`` of the upstream.
         timeout : float
-            Seconds that connecting may take.
+            Longest time for connecting, in seconds.
         fresh : bool
-            Never use an idle connection. The upstream may be closing it at this
-            moment, which leaves the outcome of what is sent unknown.
+            Never reuse an idle connection. The upstream may be closing it at this
+            moment; the outcome of a request that is sent on it is then unknown.
 
         Raises
         ------
@@ -101,14 +107,15 @@
         if not fresh:
             kept = self._take_idle(address)
             if kept is not None:
-                return Taken(kept, is_kept=True)
+                return TakenConnection(kept, is_kept=True)
         host, _, port = address.rpartition(":")
-        # The deadline of the whole attempt bounds each read. urllib3 sets the socket's
-        # timeout anew with each request and answer; with the time for connecting, it
-        # would cut off an upstream whose first byte takes longer.
+        # The deadline of the attempt bounds each read, so the connection has no timeout
+        # of its own. urllib3 applies the connection's timeout to the socket again for
+        # each request and answer; with the timeout for connecting, it would abort
+        # requests to an upstream whose first byte takes longer than that.
         connection = Connection(host.strip("[]"), int(port), timeout=None)
         connection.sock = _connect(connection.host, connection.port, timeout)
-        return Taken(connection, is_kept=False)
+        return TakenConnection(connection, is_kept=False)
 
     def keep(
         self,
@@ -116,8 +123,8 @@
         connection: Connection,
         idle_seconds: float = MAX_IDLE_SECONDS,
     ) -> None:
-        """Keep `connection`, on which a whole answer was read, for reuse."""
-        self._close_ended()
+        """Keep `connection` for reuse, after a complete answer was read on it."""
+        self._close_expired()
         idle = self._idle_by_address.setdefault(address, collections.deque())
         if connection.sock is None or len(idle) >= MAX_IDLE:
             connection.close()
@@ -134,16 +141,18 @@
         for address in list(self._idle_by_address):
             self.forget(address)
 
-    def _close_ended(self) -> None:
-        """Close connections of some upstreams whose time is up.
+    def _close_expired(self) -> None:
+        """Close the expired idle connections of the next few upstreams.
 
-        The last one kept is the first one taken, so those below it, and those to an
-        upstream that nothing is sent to any more, would stay open for good: up to one
-        for each place at each engine. Looked through at each keeping, what is open
-        beyond its time is a part of the upstreams', however many connections each had.
+        The connection kept last is taken first. Those kept earlier, and those to an
+        upstream to which nothing is sent any more, would therefore stay open forever,
+        up to one for each run slot of each engine, and use up the process's file
+        descriptors. Each time a connection is kept, the `_N_SWEPT_PER_KEEP` upstreams
+        that were checked longest ago are checked. So every upstream is checked within a
+        bounded number of kept connections, however many connections it has.
         """
         now = clock.now()
-        for _ in range(min(_N_LOOKED_THROUGH, len(self._idle_by_address))):
+        for _ in range(min(_N_SWEPT_PER_KEEP, len(self._idle_by_address))):
             address, idle = self._idle_by_address.popitem(last=False)
             left = collections.deque(each for each in idle if each.until >= now)
             if left:
@@ -157,7 +166,7 @@
         now = clock.now()
         while idle:
             kept = idle.pop()
-            if kept.until >= now and _is_silent(kept.connection):
+            if kept.until >= now and _has_no_input(kept.connection):
                 return kept.connection
             kept.connection.close()
         return None
@@ -177,14 +186,15 @@
     return connected
 
 
-def _is_silent(connection: Connection) -> bool:
-    """Tell whether there is nothing to read on an idle connection.
+def _has_no_input(connection: Connection) -> bool:
+    """Return whether there is nothing to read on an idle connection, not even its end.
 
-    Bytes that wait on it belong to no request, and an end means that the upstream
-    closed it. urllib3's own check goes through the hub, which costs two switches of
-    tasks for each request; a look at the socket, which never blocks, is enough.
+    Bytes that are ready to be read belong to no request, and the end of the data means
+    that the upstream closed the connection. urllib3's own check goes through eventlet's
+    hub, which costs two task switches for each request; peeking at the socket does not
+    block, and is sufficient.
     """
-    # The socket under eventlet's, which is set not to block.
+    # The plain socket inside eventlet's, which is in non-blocking mode.
     plain: Any = getattr(connection.sock, "fd", None)
     if plain is None:
         return False
--- a/bilberrydrum/requests/dispatch.py
+++ b/bilberrydrum/requests/dispatch.py
@@ -1,8 +1,9 @@
 """The dispatcher: takes calls through admission, routing, attempts and retries.
 
-A call runs in the task of whoever makes it; that task owns the call's connection. The
-decisions are `admission`, `routing`, `health` and `retries`; one task here pumps the
-queue when calls end, and at short intervals, for reports that show new room.
+A call runs in the task that makes it, and that task owns the call's connection. The
+decisions are made in `admission`, `routing`, `health` and `retries`. Waiting calls are
+granted capacity when another call ends, and by a task of the dispatcher at short
+intervals, since a report of an upstream may show free capacity as well.
 """
 
 import contextlib
@@ -34,12 +35,13 @@
 )
 from bilberrydrum.upstreams import model as upstream_model
 
-# Time between looks at the queue when no call ends.
+# Time between passes over the queue when no call ends, in seconds.
 PUMP_SECONDS: Final = 0.02
-# Time between counts of the gateways that share the upstreams.
+# Time between counts of the gateways that share the upstreams, in seconds.
 _COUNT_SECONDS: Final = 1.0
-# Time between looks whether the client of a waiting call is still there.
-GONE_CHECK_SECONDS: Final = 0.25
+# Time between checks whether the client of a waiting call is still connected, in
+# seconds.
+CLIENT_CHECK_SECONDS: Final = 0.25
 
 
 class RefusedError(Exception):
@@ -64,8 +66,8 @@
         self._bundles = bundles
         self._registry = registry
         self._rng = random.Random()
-        self._means = attempts.Means(connections.Connections(), watch.Watch())
-        self._process_mark = uuid.uuid4().hex[:12]
+        self._means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
+        self._process_token = uuid.uuid4().hex[:12]
         self._attempt_numbers = itertools.count(1)
         self._admission = admission.Admission(
             settings.requests.max_queue_per_caller, self._rng
@@ -80,7 +82,7 @@
             settings.requests.max_attempts,
             self.crashes,
         )
-        # Sent when a call begins to wait while none did.
+        # Sent when a call begins to wait and no other call was waiting.
         self._queued = eventlet.event.Event()
         self._events_by_number: dict[int, eventlet.event.Event] = {}
         self._upstreams_by_id: Mapping[str, upstream_model.Upstream] = {}
@@ -90,7 +92,7 @@
         self._task: Any = None
 
     def start(self) -> None:
-        """Start the task that serves the queue."""
+        """Start the dispatcher's tasks."""
         self._means.clients.start()
         self.crashes.start()
         self._task = eventlet.spawn(self._run)
@@ -115,7 +117,7 @@
         return self._admission.n_waiting
 
     def drain(self, limit_seconds: float) -> bool:
-        """Wait until no call is left; False if some are after `limit_seconds`."""
+        """Wait up to `limit_seconds` until no call is left; return whether none is."""
         end = clock.now() + limit_seconds
         while self.n_in_flight or self.n_waiting:
             if clock.now() >= end:
@@ -126,7 +128,7 @@
     def stream(self, call: model.ModelCall) -> Iterator[model.StreamEvent]:
         """Generate on an engine; the last event is `Finished` or `Failed`."""
         progress = recovery.Progress(calls.need_of(call))
-        self.budget.first_attempt()
+        self.budget.count_first_attempt()
         while True:
             refusal = self._recovery.find_refusal(call, progress)
             if refusal is not None:
@@ -156,9 +158,9 @@
     def call_application(
         self, call: model.ApplicationCall
     ) -> result.Result[model.ApplicationAnswer, model.Failed]:
-        """Call a plain service and return its whole answer."""
+        """Call a plain service and return its complete answer."""
         progress = recovery.Progress(calls.need_of(call))
-        self.budget.first_attempt()
+        self.budget.count_first_attempt()
         while True:
             refusal = self._recovery.find_refusal(call, progress)
             if refusal is not None:
@@ -184,18 +186,19 @@
 
     def _attempt_id(self, call: calls.Call) -> str:
         number = next(self._attempt_numbers)
-        return f"{call.request_id}/{self._process_mark}-{number:x}"
+        return f"{call.request_id}/{self._process_token}-{number:x}"
 
     def _refusal_of(self, call: calls.Call) -> Callable[[], reasons.Reason | None]:
-        """Return what finds out why `call` must not be sent now."""
+        """Return a function that returns why `call` must not be sent now, or None."""
 
         def find_refusal() -> reasons.Reason | None:
-            # The lease is looked at again at every attempt: while the call waited,
-            # or the process was stopped, another bundle may have come in force.
+            # The bundle's lease is checked again at every attempt: while the call
+            # waited, or the process was stopped, another bundle may have come into
+            # force.
             bundle = self._bundles.current()
             if isinstance(bundle, result.Err):
                 return bundle.err_value
-            # Copies of the call may have ended upstreams meanwhile.
+            # Other copies of the call may have crashed upstreams meanwhile.
             refusal = self.crashes.find_refusal(call, has_run=False)
             if refusal is not None:
                 return refusal
@@ -203,12 +206,13 @@
 
         return find_refusal
 
-    def foresee_refusal(
+    def predict_refusal(
         self, call: model.ModelCall | model.ApplicationCall
     ) -> model.Failed | None:
-        """Return the refusal that `call` would meet now, if any; nothing is changed.
+        """Return the refusal that `call` would get now, or None; change nothing.
 
-        For a call that costs much before it is offered, as a claim does.
+        This saves the preparation of a call that would be refused, where that is
+        expensive, as the claim of a request that must not run twice.
         """
         refused = self._admission.foresee(clock.now(), self._ticket(call))
         if refused is None:
@@ -237,44 +241,45 @@
     def _admitted(
         self, call: calls.Call, progress: recovery.Progress
     ) -> Iterator[upstream_model.Upstream]:
-        """Hold a place at an upstream while the block runs."""
+        """Hold capacity at an upstream while the block runs."""
         ticket = self._ticket(call, progress)
-        upstream = self._wait_for_place(call, ticket)
-        # A call that comes back, its upstream having been busy, keeps its turn.
+        upstream = self._wait_for_capacity(call, ticket)
+        # If the upstream turns out to be busy, the call is queued again at its old
+        # position.
         progress.number = ticket.number
         progress.began_at = ticket.granted_at
-        is_whole = False
+        is_complete = False
         try:
             yield upstream
-            is_whole = True
+            is_complete = True
             self._router.health.succeeded(upstream.upstream_id)
         finally:
-            self._leave(upstream, ticket, progress, is_whole)
+            self._release(upstream, ticket, progress, is_complete)
 
-    def _leave(
+    def _release(
         self,
         upstream: upstream_model.Upstream,
         ticket: queues.Ticket,
         progress: recovery.Progress,
-        is_whole: bool,
+        is_complete: bool,
     ) -> None:
         now = clock.now()
-        seconds = now - ticket.granted_at if is_whole else None
+        seconds = now - ticket.granted_at if is_complete else None
         cost = 1.0
         if progress.need.kind == upstream_model.KIND_ENGINE:
             cost = float(progress.n_tokens)
         self._router.ended(upstream.upstream_id, now, seconds, cost)
-        self._admission.ended(now, ticket, cost, is_whole)
+        self._admission.ended(now, ticket, cost, is_complete)
         if self._admission.n_waiting:
             self._pump()
 
-    def _wait_for_place(
+    def _wait_for_capacity(
         self, call: calls.Call, ticket: queues.Ticket
     ) -> upstream_model.Upstream:
-        for effect in self._admission.offer(clock.now(), ticket, self._place):
+        for effect in self._admission.offer(clock.now(), ticket, self._assign):
             if effect.ticket is ticket:
                 return _upstream_of(effect)
-            self._tell(effect)
+            self._notify(effect)
         ready = eventlet.event.Event()
         self._events_by_number[ticket.number] = ready
         if not self._queued.ready():
@@ -282,7 +287,7 @@
         is_taken = False
         try:
             while not ready.ready():
-                ready.wait(GONE_CHECK_SECONDS)
+                ready.wait(CLIENT_CHECK_SECONDS)
                 if not ready.ready() and call.is_client_gone():
                     raise RefusedError(reasons.Reason.CALLER_GONE, 0.0)
             is_taken = True
@@ -291,17 +296,17 @@
             del self._events_by_number[ticket.number]
             self._admission.withdraw(ticket)
             if not is_taken and ready.ready():
-                self._give_back(ready.wait())
+                self._return_capacity(ready.wait())
 
-    def _give_back(self, effect: admission.Effect) -> None:
-        # The task was killed after it was given a place and before it ran again. The
-        # place would be lost for good.
+    def _return_capacity(self, effect: admission.Effect) -> None:
+        # The task was killed after its call was granted capacity and before it ran
+        # again. If the capacity were not returned, it would be lost permanently.
         if isinstance(effect, admission.Granted):
             now = clock.now()
             self._router.ended(effect.upstream.upstream_id, now, None)
             self._admission.ended(now, effect.ticket, 0.0, False)
 
-    def _tell(self, effect: admission.Effect) -> None:
+    def _notify(self, effect: admission.Effect) -> None:
         ready = self._events_by_number.get(effect.ticket.number)
         if ready is not None and not ready.ready():
             ready.send(effect)
@@ -313,14 +318,14 @@
             if self._admission.n_waiting:
                 self._pump()
             else:
-                # An idle gateway has nothing to wake up for.
+                # Sleep until a call waits: an idle gateway has nothing to do.
                 self._queued = eventlet.event.Event()
 
     def _pump(self) -> None:
-        for effect in self._admission.pump(clock.now(), self._place):
-            self._tell(effect)
+        for effect in self._admission.pump(clock.now(), self._assign):
+            self._notify(effect)
 
-    def _place(self, ticket: queues.Ticket) -> upstream_model.Upstream | routing.Lack:
+    def _assign(self, ticket: queues.Ticket) -> upstream_model.Upstream | routing.Lack:
         now = clock.now()
         self._refresh(now)
         eligible = self._eligible_by_need.get(ticket.need)
@@ -355,7 +360,7 @@
 def _give_up(
     progress: recovery.Progress, failed: model.Failed
 ) -> result.Result[model.ApplicationAnswer, model.Failed]:
-    # A whole answer that says the service failed is the caller's when there is no
+    # The service's own complete answer that it failed is forwarded if there is no
     # better one.
     if progress.answer is not None:
         return result.Ok(progress.answer)
@@ -370,7 +375,8 @@
 
 def _refused(error: RefusedError, progress: recovery.Progress) -> model.Failed:
     if progress.failed is not None and error.reason is reasons.Reason.NO_UPSTREAM:
-        # There is no other upstream to try; why the last one failed says more.
+        # There is no other upstream to try. The failure of the last one is a more
+        # useful reason than that.
         return progress.failed
     return model.Failed(
         error.reason,
--- a/bilberrydrum/requests/events.py
+++ b/bilberrydrum/requests/events.py
@@ -1,8 +1,8 @@
-"""Read an engine's stream of server-sent events, and write one for a caller.
+"""Parse an engine's stream of server-sent events.
 
-`StreamReader` is pure: bytes in, typed events out. It holds a stream to be whole only
-when a choice named its finish reason and the `[DONE]` marker followed; whatever else
-ends the bytes is a failure.
+`StreamReader` does no I/O: it turns bytes into typed events. A stream counts as
+complete only if a choice gave its finish reason and the `[DONE]` marker followed. A
+stream that ends in any other way has failed.
 """
 
 import json
@@ -14,13 +14,14 @@
 from bilberrydrum.requests import model
 
 DONE: Final = b"data: [DONE]\n\n"
-# Longest event taken; a longer one is an engine's fault and would fill the memory.
+# Longest accepted event, in bytes. A longer one is a fault of the engine, and without a
+# bound it would fill the memory.
 MAX_EVENT_BYTES: Final = 1024 * 1024
 _PREFIX: Final = b"data:"
 
 
 class StreamError(Exception):
-    """The stream is not one that answers the request."""
+    """The stream is malformed, or does not belong to the request."""
 
     def __init__(self, reason: reasons.Reason, detail: str) -> None:
         super().__init__(detail)
@@ -34,9 +35,9 @@
 
     request_id: str
     upstream_id: str
-    # True once the stream has ended whole.
+    # True once the stream is complete.
     is_done: bool = False
-    _rest: bytes = b""
+    _incomplete_line: bytes = b""
     _finish_reason: str = ""
 
     def feed(self, data: bytes) -> list[model.StreamEvent]:
@@ -45,40 +46,48 @@
         Raises
         ------
         StreamError
-            If the stream is damaged, or belongs to another request.
+            If the stream is malformed, or belongs to another request.
         """
-        lines = (self._rest + data).split(b"\n")
-        self._rest = lines.pop()
-        if len(self._rest) > MAX_EVENT_BYTES:
-            raise StreamError(reasons.Reason.UPSTREAM_ERROR, "event too large")
+        lines = (self._incomplete_line + data).split(b"\n")
+        self._incomplete_line = lines.pop()
+        if len(self._incomplete_line) > MAX_EVENT_BYTES:
+            raise StreamError(
+                reasons.Reason.UPSTREAM_ERROR,
+                f"event too large: expected at most {MAX_EVENT_BYTES} bytes, got"
+                f" {len(self._incomplete_line)} without its end",
+            )
         events: list[model.StreamEvent] = []
         for line in lines:
             if line.startswith(_PREFIX):
-                self._take(line[len(_PREFIX) :].strip(), events)
+                self._read_data(line[len(_PREFIX) :].strip(), events)
         return events
 
-    def _take(self, data: bytes, events: list[model.StreamEvent]) -> None:
+    def _read_data(self, data: bytes, events: list[model.StreamEvent]) -> None:
         if self.is_done:
             raise StreamError(
-                reasons.Reason.ANSWER_MISMATCHED, "events after the end of the stream"
+                reasons.Reason.ANSWER_MISMATCHED,
+                "expected nothing after the [DONE] marker, got another event",
             )
         if data == b"[DONE]":
-            self._end(events)
+            self._finish(events)
             return
         document = _parse(data)
-        # An engine that mixes up its answers must not give one caller the text of
-        # another; every event names the request that it belongs to.
+        # Each event carries the id of its request. If an engine mixes up its answers,
+        # this check prevents that one caller gets the text of another.
         if document.get("id") != self.request_id:
             raise StreamError(
-                reasons.Reason.ANSWER_MISMATCHED, f"answer for {document.get('id')!r}"
+                reasons.Reason.ANSWER_MISMATCHED,
+                f"expected an event of request {self.request_id!r}, got one of"
+                f" {document.get('id')!r}",
             )
         if self._finish_reason:
             raise StreamError(
-                reasons.Reason.ANSWER_MISMATCHED, "tokens after the finish reason"
+                reasons.Reason.ANSWER_MISMATCHED,
+                "expected the [DONE] marker after the finish reason, got another event",
             )
-        self._take_choice(document, events)
+        self._read_choice(document, events)
 
-    def _take_choice(
+    def _read_choice(
         self, document: dict[str, Any], events: list[model.StreamEvent]
     ) -> None:
         try:
@@ -89,30 +98,38 @@
             version = document.get("weight_version")
         except (KeyError, IndexError, TypeError, AttributeError) as error:
             raise StreamError(
-                reasons.Reason.UPSTREAM_ERROR, f"event without a choice: {error}"
+                reasons.Reason.UPSTREAM_ERROR,
+                f"expected an event with a choice, got {error!r}",
             ) from error
-        if not _is_sound(text, token_ids, version):
-            raise StreamError(reasons.Reason.UPSTREAM_ERROR, "field of a wrong type")
+        if not _is_valid(text, token_ids, version):
+            raise StreamError(
+                reasons.Reason.UPSTREAM_ERROR,
+                "expected a string as text, integers as token ids, and an integer or"
+                " null as weight version, got another type",
+            )
         if text or token_ids:
             events.append(model.Tokens(text, token_ids, version, self.upstream_id))
         if finish_reason is None:
             return
         if finish_reason not in (model.FINISH_STOP, model.FINISH_LENGTH):
             raise StreamError(
-                reasons.Reason.UPSTREAM_ERROR, f"finish reason {finish_reason!r}"
+                reasons.Reason.UPSTREAM_ERROR,
+                f"expected {model.FINISH_STOP!r} or {model.FINISH_LENGTH!r} as finish"
+                f" reason, got {finish_reason!r}",
             )
         self._finish_reason = finish_reason
 
-    def _end(self, events: list[model.StreamEvent]) -> None:
+    def _finish(self, events: list[model.StreamEvent]) -> None:
         if not self._finish_reason:
             raise StreamError(
-                reasons.Reason.ANSWER_TRUNCATED, "no finish reason before the end"
+                reasons.Reason.ANSWER_TRUNCATED,
+                "expected a finish reason before the [DONE] marker, got none",
             )
         self.is_done = True
         events.append(model.Finished(self._finish_reason, self.upstream_id))
 
 
-def _is_sound(text: object, token_ids: tuple[object, ...], version: object) -> bool:
+def _is_valid(text: object, token_ids: tuple[object, ...], version: object) -> bool:
     if not isinstance(text, str) or not isinstance(version, int | None):
         return False
     return all(type(token_id) is int for token_id in token_ids)
@@ -124,5 +141,7 @@
     except ValueError as error:
         raise StreamError(reasons.Reason.UPSTREAM_ERROR, str(error)) from error
     if not isinstance(document, dict):
-        raise StreamError(reasons.Reason.UPSTREAM_ERROR, "event is no object")
+        raise StreamError(
+            reasons.Reason.UPSTREAM_ERROR, "expected a JSON object as event"
+        )
     return document
--- a/bilberrydrum/requests/outgoing_requests.py
+++ b/bilberrydrum/requests/outgoing_requests.py
@@ -1,4 +1,4 @@
-"""The request of one attempt, made of a call."""
+"""Build the HTTP request of one attempt from a call."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -10,8 +10,8 @@
 from bilberrydrum.requests import model
 
 REQUEST_ID: Final = "X-Request-Id"
-# Headers that belong to one connection and are not passed on (RFC 9110, 7.6.1).
-HOP_HEADERS: Final = frozenset(
+# Headers that apply to a single connection and are not forwarded (RFC 9110, 7.6.1).
+HOP_BY_HOP_HEADERS: Final = frozenset(
     {
         "connection",
         "keep-alive",
@@ -25,7 +25,7 @@
     }
 )
 # Headers that each attempt sets itself.
-NOT_PASSED_ON: Final = HOP_HEADERS | {
+NOT_FORWARDED_HEADERS: Final = HOP_BY_HOP_HEADERS | {
     "host",
     "content-length",
     "expect",
@@ -35,9 +35,9 @@
 
 @attrs.define
 class Outgoing:
-    """The request of one attempt."""
+    """The HTTP request of one attempt."""
 
-    # Unlike any other attempt's, so that an answer to an earlier one is told apart.
+    # Unique for each attempt, so that a late answer to an earlier one is recognised.
     request_id: str
     method: str
     target: str
@@ -45,21 +45,25 @@
     body: bytes
     deadline: float
     is_idempotent: bool
-    # Asked immediately before the first byte: why it must not go out, if so.
+    # Called immediately before the first byte is sent; returns why the request must not
+    # be sent, or None.
     find_refusal: Callable[[], reasons.Reason | None]
-    # Tells whether nobody waits for the answer any more.
+    # Returns whether the client has stopped waiting for the answer.
     is_client_gone: Callable[[], bool] = model.never
-    # When the first byte may have gone out, in seconds of `clock.now`; None: none has.
+    # Time at which the first byte may have been sent, in seconds of `clock.now`; None:
+    # no byte was sent.
     sent_at: float | None = None
-    # Header by which the answer names this request.
+    # Header by which the answer carries the id of this request.
     id_header: str = REQUEST_ID
-    # An answer without a length ends whole where its connection is closed in order.
-    # Such answers are taken where the upstreams' protocol has them.
+    # Whether an answer without length and chunks is accepted. It counts as complete if
+    # its connection is closed in order. For protocols that have such answers.
     accepts_unframed: bool = False
-    # May be sent again to the same upstream if a kept connection was dropped.
+    # May be sent again to the same upstream if the upstream had dropped the reused
+    # connection.
     may_repeat: bool = False
-    # May go out on a kept connection; one that was dropped loses what may run once.
-    uses_kept: bool = True
+    # May be sent on a reused connection. False for a request that must not run twice:
+    # if the upstream has dropped the connection, the request's outcome is unknown.
+    may_use_kept: bool = True
 
     @property
     def has_begun(self) -> bool:
@@ -67,12 +71,12 @@
         return self.sent_at is not None
 
 
-def passed_back(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
-    """Return an answer's headers without those of its connection alone."""
+def end_to_end_headers(headers: Mapping[str, str]) -> tuple[tuple[str, str], ...]:
+    """Return an answer's headers without the hop-by-hop ones."""
     return tuple(
         (name, value)
         for name, value in headers.items()
-        if name.lower() not in NOT_PASSED_ON
+        if name.lower() not in NOT_FORWARDED_HEADERS
     )
 
 
@@ -81,7 +85,7 @@
     attempt_id: str,
     find_refusal: Callable[[], reasons.Reason | None],
 ) -> Outgoing:
-    """Return the request that asks an engine for `call`."""
+    """Return the request for `call` to an engine."""
     body = {
         "model": call.model,
         "prompt": call.prompt,
@@ -110,9 +114,11 @@
     attempt_id: str,
     find_refusal: Callable[[], reasons.Reason | None],
 ) -> Outgoing:
-    """Return the request that makes `call`."""
+    """Return the request for `call` to a plain service."""
     headers = {
-        name: value for name, value in call.headers if name.lower() not in NOT_PASSED_ON
+        name: value
+        for name, value in call.headers
+        if name.lower() not in NOT_FORWARDED_HEADERS
     }
     headers[REQUEST_ID] = attempt_id
     return Outgoing(
--- a/bilberrydrum/requests/recovery.py
+++ b/bilberrydrum/requests/recovery.py
@@ -69,7 +69,7 @@
     """Decides after failed attempts, and notes what they say about the upstreams."""
 
     router: routing.Router
-    pool: connections.Connections
+    pool: connections.ConnectionPool
     budget: retries.RetryBudget
     max_attempts: int
     crashes: crash_memory.CrashMemory
--- a/bilberrydrum/requests/resume.py
+++ b/bilberrydrum/requests/resume.py
@@ -1,7 +1,8 @@
-"""Generate a whole answer, resuming on another engine when one fails mid-stream.
+"""Generate a complete answer, resuming on another engine if one fails mid-stream.
 
-The tokens made so far are handed to the next engine, which goes on from them; the
-client sees one stream. Each piece of it still names the weight version that made it.
+The tokens generated so far are sent to the next engine, which continues from them, so
+the client sees one stream. Each event of it still carries the weight version that
+generated it.
 """
 
 import contextlib
@@ -13,18 +14,18 @@
 from bilberrydrum import clock, counters, interfaces
 from bilberrydrum.requests import model
 
-# Engines that one stream may be resumed on.
+# How often one stream may be resumed on another engine.
 MAX_RESUMES: Final = 3
 
 
 def stream(
     dispatcher: interfaces.Dispatcher, call: model.ModelCall
 ) -> Iterator[model.StreamEvent]:
-    """Yield the events of `call` as `Dispatcher.stream` does, resumed when need be."""
+    """Yield the events of `call` like `Dispatcher.stream`, resuming after failures."""
     current = call
     last: model.Failed | None = None
     for n_resumes in range(MAX_RESUMES + 1):
-        made: list[int] = []
+        generated: list[int] = []
         can_resume = call.is_idempotent and n_resumes < MAX_RESUMES
         failed = None
         with contextlib.closing(_Closable(dispatcher.stream(current))) as events:
@@ -33,30 +34,31 @@
                     failed = event
                     break
                 if isinstance(event, model.Tokens):
-                    made.extend(event.token_ids)
-                    # Text without its tokens can't be handed on.
+                    generated.extend(event.token_ids)
+                    # Text without token ids can't be sent to the next engine.
                     can_resume = can_resume and bool(event.token_ids)
                 yield event
         if failed is None:
             return
-        if not made and last is not None:
-            # No engine could go on. That the stream broke off says more than that.
+        if not generated and last is not None:
+            # No engine could resume the stream. Why it broke off before is a more
+            # useful reason than that.
             yield last
             return
-        if not made or not can_resume or clock.now() >= call.deadline:
+        if not generated or not can_resume or clock.now() >= call.deadline:
             yield failed
             return
         last = failed
         counters.retried(failed.reason)
         current = attrs.evolve(
             current,
-            resume_token_ids=current.resume_token_ids + tuple(made),
+            resume_token_ids=current.resume_token_ids + tuple(generated),
             excluded_upstream_ids=current.excluded_upstream_ids | {failed.upstream_id},
         )
 
 
 class _Closable:
-    """An iterator whose end is passed on to the one inside, if that can be closed."""
+    """An iterator with a `close` that closes the wrapped one, if that has a `close`."""
 
     def __init__(self, events: Iterator[model.StreamEvent]) -> None:
         self._events = events
--- a/bilberrydrum/requests/routing.py
+++ b/bilberrydrum/requests/routing.py
@@ -241,12 +241,12 @@
         if use.mean_size:
             trust = 0.5 ** ((now - use.paced_at) / _PACE_HALF_LIFE_SECONDS)
             relative = trust * use.pace / typical.pace + (1.0 - trust)
-        rise = relative / max(1, upstream.max_concurrency)
-        cost = relative + rise * (use.n_in_flight + n_foreign)
+        cost_per_call = relative / max(1, upstream.max_concurrency)
+        cost = relative + cost_per_call * (use.n_in_flight + n_foreign)
         if upstream.availability_zone != self.availability_zone:
             # As much as one call more: the near one goes first while it isn't slower.
-            cost += rise + ZONE_SECONDS / typical.seconds
-        return spreading.Option(upstream, cost, rise)
+            cost += cost_per_call + ZONE_SECONDS / typical.seconds
+        return spreading.Option(upstream, cost, cost_per_call)
 
     def started(self, upstream_id: str, now: float) -> None:
         """Note that a call was given to the upstream."""
--- a/bilberrydrum/requests/single_calls.py
+++ b/bilberrydrum/requests/single_calls.py
@@ -1,4 +1,7 @@
-"""One short call to a program outside, and its answer; what is sent is made last."""
+"""Make one short call to an external program, and return its answer.
+
+The request is prepared only when the connection is established (see `call`).
+"""
 
 import http.client
 from collections.abc import Callable
@@ -17,17 +20,17 @@
 
 @attrs.frozen
 class Reply:
-    """What became of a call."""
+    """The outcome of a call."""
 
-    # Of the answer; 0: there is none.
+    # Status of the answer; 0: there was none.
     status: int = _NO_ANSWER
     body: bytes = b""
-    # Nothing was sent, as there was nothing to be sent any more.
+    # Nothing was sent, because `prepare` returned None.
     is_withheld: bool = False
 
 
 def call(
-    pool: connections.Connections,
+    pool: connections.ConnectionPool,
     address: str,
     prepare: Callable[[], upstream_protocol.OrderMessage | None],
     seconds: float,
@@ -38,12 +41,13 @@
     Parameters
     ----------
     prepare : callable
-        Called with the connection in hand: connecting takes time, and a process that
-        was stopped meanwhile may not have the right to send any more. None: it has not.
+        Called when the connection is established, and returns the request, or None if
+        it must not be sent. Connecting takes time, and a process that was stopped
+        meanwhile may have lost the right to send.
     seconds : float
-        Time for the whole call.
+        Timeout of the call, connecting included.
     purpose : str
-        What the call is for, for the log.
+        Purpose of the call, for the log.
     """
     with eventlet.Timeout(seconds, False):
         try:
@@ -64,20 +68,20 @@
         message_type="calls:no-answer",
         purpose=purpose,
         address=address,
-        detail=f"none within {seconds} s",
+        detail=f"no answer within {seconds} s",
     )
     return Reply()
 
 
 def _call(
-    pool: connections.Connections,
+    pool: connections.ConnectionPool,
     address: str,
     prepare: Callable[[], upstream_protocol.OrderMessage | None],
     seconds: float,
 ) -> Reply:
     taken = pool.take(address, seconds)
     connection: Any = taken.connection
-    is_whole = False
+    is_complete = False
     try:
         message = prepare()
         if message is None:
@@ -91,9 +95,9 @@
         )
         answer = connection.getresponse()
         body = answer.read()
-        is_whole = True
+        is_complete = True
     finally:
-        if not is_whole:
+        if not is_complete:
             connection.close()
-    attempts.settle(pool, address, connection, answer, True)
+    attempts.keep_or_close(pool, address, connection, answer, True)
     return Reply(answer.status, body)
--- a/bilberrydrum/requests/spreading.py
+++ b/bilberrydrum/requests/spreading.py
@@ -1,11 +1,13 @@
-"""Pick one of several upstreams when others pick at the same time, unseen.
-
-The state of the upstreams is known by reports of some age. If every gateway took the
-one that looked best, all of them would take the same one until the next report. So the
-calls that are likely to have come since are poured over the upstreams like water, where
-it is lowest first, and one is taken by chance, with the share that was poured into it
-(after M. Dahlin, "Interpreting Stale Load Information", IEEE TPDS 11(10), 2000). With
-no such calls the one of the least cost is taken.
+"""Choose one of several upstreams when the reports of their load are stale.
+
+Other gateways send calls to the same upstreams, and their calls are known only from
+reports of some age. If every gateway chose the upstream with the lowest reported load,
+all of them would choose the same one until the next report. So the calls that are
+likely to have been sent since the reports are distributed over the upstreams by water
+filling: those with the lowest cost are filled first, up to a common level. Then an
+upstream is chosen at random, weighted by its share of these calls (after M. Dahlin,
+"Interpreting Stale Load Information", IEEE TPDS 11(10), 2000). If no such calls are
+expected, the upstream of the lowest cost is chosen.
 """
 
 import random
@@ -15,8 +17,8 @@
 
 from bilberrydrum.upstreams import model as upstream_model
 
-# Costs that differ by less are the same.
-_SMALL: Final = 1e-6
+# Costs that differ by no more than this are treated as equal.
+_COST_TOLERANCE: Final = 1e-6
 
 
 @attrs.define
@@ -24,10 +26,10 @@
     """One upstream that could take the call."""
 
     upstream: upstream_model.Upstream
-    # What one more call costs there.
+    # Cost of one more call at the upstream.
     cost: float
-    # By how much each further call makes it dearer; above 0.
-    rise: float
+    # Increase of that cost with each further call; above 0.
+    cost_per_call: float
 
 
 def pick(
@@ -40,32 +42,37 @@
     options : list of Option
         At least one.
     n_unseen : float
-        Calls that are likely to have come since the costs were known.
+        Expected number of calls that were sent since the reports of the costs.
     rng : random.Random
-        Where the chance comes from.
+        Source of the random choice.
     """
     if len(options) == 1:
         return options[0].upstream
     least = min(option.cost for option in options)
     level = _level(options, n_unseen)
-    if level <= least + _SMALL:
-        ties = [option for option in options if option.cost <= least + _SMALL]
+    if level <= least + _COST_TOLERANCE:
+        ties = [option for option in options if option.cost <= least + _COST_TOLERANCE]
         return rng.choice(ties).upstream
-    weights = [max(0.0, (level - option.cost) / option.rise) for option in options]
+    weights = [
+        max(0.0, (level - option.cost) / option.cost_per_call) for option in options
+    ]
     return rng.choices(options, weights)[0].upstream
 
 
 def _level(options: list[Option], n_calls: float) -> float:
-    """Return the cost that all options below it reach with `n_calls` further calls."""
+    """Return the common cost level after water filling with `n_calls` calls.
+
+    All options with a lower cost are raised to this level; the others get no call.
+    """
     options = sorted(options, key=_cost)
-    width = 1.0 / options[0].rise
+    width = 1.0 / options[0].cost_per_call
     level = options[0].cost + n_calls / width
     filled = width * options[0].cost
     for option in options[1:]:
         if option.cost >= level:
             break
-        width += 1.0 / option.rise
-        filled += option.cost / option.rise
+        width += 1.0 / option.cost_per_call
+        filled += option.cost / option.cost_per_call
         level = (n_calls + filled) / width
     return level
 
--- a/bilberrydrum/requests/watch.py
+++ b/bilberrydrum/requests/watch.py
@@ -1,9 +1,10 @@
-"""Notice that the client of a call is gone while its task waits for an upstream.
+"""Detect that the client of a call is gone while its task waits for an upstream.
 
-A task waits for one socket at a time, so while it waits for the upstream it does not
-see its client hang up. One task here looks at the clients of all calls that wait, and
-ends the wait of those whose client is gone. Without it an engine would go on generating
-for callers that gave up and came back, which under overload is most of its work.
+A task waits for one socket at a time, so a task that waits for an upstream does not
+notice that its client closes the connection. One task here checks the clients of all
+waiting calls, and interrupts the calls whose client is gone. Without these checks, an
+engine would continue to generate for callers that gave up and sent a retry. Under
+overload that is most of its work.
 """
 
 import contextlib
@@ -17,13 +18,14 @@
 
 from bilberrydrum import clock
 
+# Time between checks of the clients, in seconds.
 CHECK_SECONDS: Final = 0.25
-# Clients looked at before other tasks get their turn.
-_PER_TURN: Final = 64
+# Number of clients checked before the checking task yields to other tasks.
+_CHECKS_PER_YIELD: Final = 64
 
 
 class ClientGoneError(Exception):
-    """The client has hung up; raised in the task that waits for its answer."""
+    """The client is gone; raised in the task that waits for the client's answer."""
 
 
 @attrs.frozen(eq=False)
@@ -32,54 +34,54 @@
     is_client_gone: Callable[[], bool]
 
 
-class Watch:
-    """The calls that wait for an upstream."""
+class ClientWatch:
+    """Checks the clients of the calls that wait for an upstream."""
 
     def __init__(self) -> None:
         self._waiting: dict[_Waiting, None] = {}
-        # Sent when a call begins to wait while none did.
-        self._begun = eventlet.event.Event()
+        # Sent when a call begins to wait and no other call was waiting.
+        self._became_busy = eventlet.event.Event()
         self._task: Any = None
 
     def start(self) -> None:
-        """Start looking."""
+        """Start the periodic checks."""
         self._task = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop looking."""
+        """Stop the periodic checks."""
         if self._task is not None:
             self._task.kill()
             self._task = None
 
     @contextlib.contextmanager
-    def watching(self, is_client_gone: Callable[[], bool]) -> Iterator[None]:
-        """End the block with `ClientGoneError` when the client is seen to be gone.
+    def ending_with_client(self, is_client_gone: Callable[[], bool]) -> Iterator[None]:
+        """Raise `ClientGoneError` in the block when the client is found to be gone.
 
-        The block must only wait for the upstream: an error raised in the middle of
-        anything else would leave it half done.
+        The block must only wait for the upstream. The error may be raised anywhere in
+        it, and would leave any other operation half done.
         """
         waiting = _Waiting(eventlet.getcurrent(), is_client_gone)
         self._waiting[waiting] = None
-        if not self._begun.ready():
-            self._begun.send(None)
+        if not self._became_busy.ready():
+            self._became_busy.send(None)
         try:
             yield
         finally:
             del self._waiting[waiting]
 
-    def look(self) -> None:
-        """Look at every client once."""
+    def check_all(self) -> None:
+        """Check every client once."""
         for n_seen, waiting in enumerate(list(self._waiting)):
-            if n_seen % _PER_TURN == _PER_TURN - 1:
+            if n_seen % _CHECKS_PER_YIELD == _CHECKS_PER_YIELD - 1:
                 eventlet.sleep(0)
             if waiting in self._waiting and waiting.is_client_gone():
                 eventlet.greenthread.kill(waiting.task, ClientGoneError())
 
     def _run(self) -> None:
         while True:
-            self._begun.wait()
+            self._became_busy.wait()
             clock.sleep(CHECK_SECONDS)
-            self.look()
+            self.check_all()
             if not self._waiting:
-                # An idle gateway has nothing to wake up for.
-                self._begun = eventlet.event.Event()
+                # Sleep until a call waits: an idle gateway has nothing to do.
+                self._became_busy = eventlet.event.Event()
--- a/tests/fakes/node_protocol.py
+++ b/tests/fakes/node_protocol.py
@@ -1,4 +1,4 @@
-"""A protocol of upstreams for tests, and an engine that speaks it."""
+"""A protocol of upstreams for tests, and a fake engine that implements it."""
 
 import json
 from typing import Any
@@ -13,7 +13,7 @@
 
 
 class PlainProtocol:
-    """Keeps `upstream_protocol.UpstreamProtocol` with names of its own."""
+    """An `upstream_protocol.UpstreamProtocol` with its own header names."""
 
     request_id_header = ID
     version_field = "version"
@@ -50,16 +50,16 @@
 
 
 class PlainEngine:
-    """An engine that answers each item with a few events and obeys orders at once.
+    """An engine that answers each item with a few events and applies orders at once.
 
-    Other requests, with targets under ``/plain/``, get an answer that it signs.
+    Requests with targets under ``/plain/`` get a plain answer with a signature.
     """
 
     def __init__(self, n_events: int = 3) -> None:
         self.n_events = n_events
-        # Ids of the requests that it has begun, in order.
+        # Ids of the items and plain requests that it has received, in order.
         self.request_ids: list[str] = []
-        # Other requests are not answered while this is set.
+        # Plain requests are not answered while this is set.
         self.is_silent = False
         self.version = 1
         self.started_at_ms: int | None = None
@@ -74,7 +74,7 @@
         self.server.stop()
 
     def answer(self, connection: Any, received: scripted.Received) -> None:
-        """Answer one request on its socket."""
+        """Answer one request on its connection."""
         if received.target == "/report":
             report = {
                 "versions_by_model": {"m": self.version},
@@ -110,7 +110,7 @@
 def stream(
     received: scripted.Received, first: int, last: int, version: int = 1
 ) -> bytes:
-    """Return a whole stream of the events from `first` to `last`."""
+    """Return a complete stream of the events from `first` to `last`."""
     head = f"HTTP/1.1 200 OK\r\n{ID}: {received.request_id}\r\n"
     head += f"Version: {version}\r\nTransfer-Encoding: chunked\r\n\r\n"
     sent = head.encode()
--- a/tests/fakes/scripted.py
+++ b/tests/fakes/scripted.py
@@ -1,4 +1,4 @@
-"""An upstream on a loopback socket that does what a script says, byte by byte."""
+"""A fake upstream on a loopback socket that answers as a script determines."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class Received:
-    """One request as the upstream got it."""
+    """One request as the upstream received it."""
 
     method: str
     target: str
@@ -28,9 +28,9 @@
 
 
 class Scripted:
-    """Accepts connections and hands each request, with its socket, to `script`.
+    """Accepts connections and calls `script` with the connection and each request.
 
-    A script that returns False ends the connection.
+    If the script returns False, the connection is closed.
     """
 
     def __init__(self, script: Script, port: int = 0, **fields: Any) -> None:
@@ -91,7 +91,7 @@
     status: str = "200 OK",
     request_id: str = "",
 ) -> bytes:
-    """Return a whole answer with a length, for `received` or another id."""
+    """Return a complete answer with a length, to `received` or to `request_id`."""
     return (
         f"HTTP/1.1 {status}\r\nContent-Length: {len(body)}\r\n"
         f"X-Request-Id: {request_id or received.request_id}\r\n\r\n"
@@ -136,8 +136,8 @@
     return b"data: " + json.dumps(document).encode() + b"\n\n"
 
 
-def whole_stream(received: Received, n_tokens: int = 3) -> bytes:
-    """Return a whole stream: its head, `n_tokens` tokens, the end."""
+def complete_stream(received: Received, n_tokens: int = 3) -> bytes:
+    """Return a complete stream: its head, `n_tokens` tokens and its end."""
     request_id = received.request_id
     parts = [event(request_id, f"t{i}", [i]) for i in range(n_tokens)]
     parts.append(event(request_id, "", [], "stop"))
@@ -147,7 +147,7 @@
 
 
 def serve(make: Callable[[Received], bytes]) -> Script:
-    """Return a script that sends what `make` returns and goes on."""
+    """Return a script that sends what `make` returns, and keeps the connection."""
 
     def script(connection: Any, received: Received) -> None:
         connection.sendall(make(received))
@@ -156,7 +156,7 @@
 
 
 def serve_and_close(make: Callable[[Received], bytes]) -> Script:
-    """Return a script that sends what `make` returns and closes the connection."""
+    """Return a script that sends what `make` returns, and closes the connection."""
 
     def script(connection: Any, received: Received) -> bool:
         connection.sendall(make(received))
--- a/tests/relay_support.py
+++ b/tests/relay_support.py
@@ -1,4 +1,4 @@
-"""A relay before scripted upstreams, and answers that they give."""
+"""Test support: a relay with scripted upstreams, and scripts of their answers."""
 
 import random
 import unittest
@@ -17,7 +17,7 @@
 
 
 class Protocol:
-    """The names that this stand-in speaks."""
+    """An `upstream_protocol.UpstreamProtocol` with short header names."""
 
     request_id_header = ID
     version_field = "version"
@@ -42,7 +42,7 @@
 
 
 class View:
-    """Stands for a gateway's copy of the registry."""
+    """Stands in for `fleet.subscriber.Subscriber`, with a fixed registry."""
 
     def __init__(self, upstreams):
         self.registry = fleet_model.Registry(1, tuple(upstreams))
@@ -83,15 +83,15 @@
     eventlet.sleep(5.0)
 
 
-def others_answer(connection, received):
+def answer_with_other_id(connection, received):
     connection.sendall(scripted.answer(received, request_id="other"))
 
 
 OK = answer()
 FULL = answer(b"", 503, "Not-Run: 1")
-ELSEWHERE = answer(b"", 421, "Not-Run: 1")
+MISDIRECTED = answer(b"", 421, "Not-Run: 1")
 FAILED = answer(b"broken", 500)
-FOREIGN = answer(b"ok", 200, "Foreign: 1")
+NOT_GENUINE = answer(b"ok", 200, "Foreign: 1")
 IDEMPOTENT = policy.RouteKind.IDEMPOTENT
 ONCE = policy.RouteKind.NON_IDEMPOTENT
 
@@ -103,14 +103,14 @@
             server = scripted.Scripted(script, kind=upstream_model.KIND_APPLICATION)
             self.addCleanup(server.stop)
             self.servers.append(server)
-        # The zone decides between idle upstreams, so they are asked in this order.
+        # Between idle upstreams the zone decides, so the first one is asked first.
         zones = ["near", *["far"] * (len(scripts) - 1)]
         upstreams = [
             fleet_model.FleetUpstream(f"u{n}", "s", server.address, zones[n], 6)
             for n, server in enumerate(self.servers)
         ]
         self.view = View(upstreams)
-        means = attempts.Means(connections.Connections(), watch.Watch())
+        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
         rng = random.Random(1)
         balancer = balancing.Balancer("near", rng)
         crashes = crash_watch.CrashWatch(self.view, None)
--- a/tests/test_batches_any_trouble.py
+++ b/tests/test_batches_any_trouble.py
@@ -142,7 +142,7 @@
             clock.now() + 5.0,
             lambda: None,
         )
-        means = attempts.Means(connections.Connections(), watch.Watch())
+        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
         try:
             with eventlet.Timeout(5.0):
                 upstream = answers.upstream_at(engine)
--- a/tests/test_batches_ends.py
+++ b/tests/test_batches_ends.py
@@ -135,7 +135,7 @@
         self.engine = self.engine_server()
         self.before_look = lambda: None
         self.view = view = View(self.engine, n_slots=2 * n_items)
-        means = attempts.Means(connections.Connections(), watch.Watch())
+        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
         rng = random.Random(1)
         protocol = node_protocol.PlainProtocol()
         crashes = crash_watch.CrashWatch(view, None)
--- a/tests/test_batches_incarnations.py
+++ b/tests/test_batches_incarnations.py
@@ -30,7 +30,7 @@
         upstream = fleet_model.FleetUpstream(
             "e", "s", self.engine.address, "z", 2, started_at_ms=known_start
         )
-        means = attempts.Means(connections.Connections(), watch.Watch())
+        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
         sender = orders.OrderSender(means, node_protocol.PlainProtocol(), lambda: 1)
         load = weight_plan.Load(upstream.upstream_id, "m", 2)
         order = orders.Order(load, True, "holder", lambda: is_wanted)
--- a/tests/test_batches_item_run.py
+++ b/tests/test_batches_item_run.py
@@ -130,7 +130,7 @@
             clock.now() + 5.0,
             find_refusal,
         )
-        means = attempts.Means(connections.Connections(), watch.Watch())
+        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
         with eventlet.Timeout(5.0):
             upstream = upstream_at(engine)
             self.ended = item_run.carry_out(means, Protocol(), upstream, run, 5.0)
@@ -459,7 +459,7 @@
             clock.now() + 5.0,
             lambda: None,
         )
-        means = attempts.Means(connections.Connections(), watch.Watch())
+        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
         ended = item_run.carry_out(means, Protocol(), upstream_at(engine), run, 5.0)
         self.assertEqual(ended.outcome, Outcome.UNREACHABLE)
 
--- a/tests/test_batches_look.py
+++ b/tests/test_batches_look.py
@@ -62,7 +62,7 @@
         self.runner = runner.BatchRunner(
             None,
             self.view,
-            attempts.Means(connections.Connections(), watch.Watch()),
+            attempts.Means(connections.ConnectionPool(), watch.ClientWatch()),
             given_hooks(),
             None,
             types.SimpleNamespace(standing=lambda fingerprint: standing),
--- a/tests/test_batches_score_sender.py
+++ b/tests/test_batches_score_sender.py
@@ -124,7 +124,7 @@
             self.addCleanup(server.stop)
             self.servers.append(server)
         self.view = View(self.servers, n_slots)
-        means = attempts.Means(connections.Connections(), watch.Watch())
+        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
         rng = random.Random(1)
         balancer = balancing.Balancer("z", rng)
         crashes = crash_watch.CrashWatch(self.view, None)
--- a/tests/test_http_callers.py
+++ b/tests/test_http_callers.py
@@ -246,7 +246,7 @@
         self.assertEqual(answer.document["status"], 201)
 
     def test_completion_with_a_key_is_generated_once(self):
-        engine = self.engine("e1", scripted.serve(scripted.whole_stream))
+        engine = self.engine("e1", scripted.serve(scripted.complete_stream))
         body = {"model": "planner", "prompt": "p", "max_tokens": 3}
         for stream in (False, True):
             body["stream"] = stream
--- a/tests/test_http_streams.py
+++ b/tests/test_http_streams.py
@@ -36,7 +36,7 @@
         self.engine("e1", self.crash, availability_zone="a")
         self.engine(
             "e2",
-            scripted.serve(scripted.whole_stream),
+            scripted.serve(scripted.complete_stream),
             availability_zone="far",
             can_resume=True,
         )
--- a/tests/test_relay_balancing.py
+++ b/tests/test_relay_balancing.py
@@ -1,4 +1,4 @@
-"""Which upstream a request that is passed on goes to."""
+"""Tests of the choice of the upstream that a relayed request is sent to."""
 
 import random
 import unittest
@@ -9,7 +9,7 @@
 
 
 class Balance(unittest.TestCase):
-    """The choice, from what one gateway knows."""
+    """The choice by zone, load and failures, as observed by one gateway."""
 
     def upstreams(self, *zones):
         return [
@@ -27,7 +27,7 @@
             chosen.append(upstream.upstream_id)
         self.assertEqual(chosen, ["u0", "u1", "u0"])
 
-    def test_failed_is_passed_over_for_a_while(self):
+    def test_failed_upstream_is_avoided_during_backoff(self):
         balancer = balancing.Balancer("near", random.Random(1))
         known = self.upstreams("near", "far")
         balancer.failed("u0", 100.0)
@@ -35,7 +35,11 @@
         self.assertEqual(balancer.choose(known, (), 100.6).upstream_id, "u0")
 
     def test_all_failed(self):
-        """The one whose time ends first is tried; refusing would help nobody."""
+        """All upstreams have failed and are in backoff.
+
+        Refusing all requests would turn a short fault into an outage, so the upstream
+        whose backoff ends first is chosen.
+        """
         balancer = balancing.Balancer("near", random.Random(1))
         balancer.failed("u0", 100.2)
         balancer.failed("u1", 100.0)
--- a/tests/test_relay_hedging.py
+++ b/tests/test_relay_hedging.py
@@ -1,4 +1,4 @@
-"""Idempotent requests that are late are asked twice, and no others."""
+"""Tests of hedging: late idempotent requests are sent to a second upstream."""
 
 from unittest import mock
 
@@ -20,10 +20,11 @@
 
 
 class Hedged(relay_support.RelayCase):
-    """An upstream takes the request and stands still.
+    """An upstream accepts the request and hangs.
 
-    The caller would wait until that attempt is given up, twice the target and more.
-    Another upstream is asked meanwhile, where the request may run more than once.
+    Without hedging, the caller waits until that attempt times out, after twice the
+    target latency or more. So a second upstream is asked meanwhile, if the request may
+    run more than once.
     """
 
     TARGET = 0.4
@@ -51,7 +52,7 @@
         ("one upstream allowed", hang, {"max_attempts": 1}, [1, 0]),
         ("answers in time", OK, {}, [1, 0]),
     )
-    def test_not_asked_twice(self, name, script, fields, n_received):
+    def test_not_hedged(self, name, script, fields, n_received):
         self.ask(self.relay(script, OK), **fields)
         self.assertEqual(self.n_received(), n_received, name)
 
@@ -63,7 +64,11 @@
         ("both are full", 0.25, FULL, 0.1, FULL, "not run"),
     )
     def test_either_answers(self, name, first, script, second, other, expected):
-        """No third upstream is asked, and "not run" waits for the word of both."""
+        """The request is hedged, and its upstreams answer or fail in different orders.
+
+        No third upstream is asked. The refusal says "not run" only if both upstreams
+        have stated that they did not run the request.
+        """
         given, _ = self.ask(
             self.relay(self.slow(first, script), self.slow(second, other))
         )
@@ -74,7 +79,7 @@
             self.assertEqual(given.status, expected, name)
         self.assertLessEqual(max(self.n_received()), 1)
 
-    def test_doubtful_request_is_sent_to_one_at_a_time(self):
+    def test_suspected_request_is_sent_to_one_upstream_at_a_time(self):
         relay_ = self.relay(hang, OK, OK)
         crashes = {
             "standing": lambda _: quarantine.Standing.DOUBTFUL,
@@ -84,16 +89,17 @@
             self.ask(relay_)
         self.assertEqual(self.n_received(), [1, 0, 0])
 
-    def test_bounded(self):
-        """All upstreams are slow: a second copy of each request would slow them more.
+    def test_number_of_hedges_is_bounded(self):
+        """All upstreams are slow, and every request is late.
 
-        Of 40 requests no more are asked twice than the budget has at its start.
+        A second copy of each request would slow the upstreams down further. Of 400
+        requests, no more are hedged than the budget's share plus its initial content.
         """
         given = hedging.Hedging()
         asked = 0
         for _ in range(400):
-            given.first_attempt()
-            asked += given.may_ask_second(1000.0)
+            given.count_first_attempt()
+            asked += given.try_take_hedge(1000.0)
         self.assertLess(asked, 400 * 0.05 + 20)
 
     @tools.params(
@@ -101,11 +107,11 @@
         ("quick answers", [0.04] * 20, 0.2),
         ("answers take most of the target", [0.3] * 20, 0.9),
     )
-    def test_patience(self, name, seconds, expected):
+    def test_hedge_delay(self, name, seconds, expected):
         given = hedging.Hedging()
         for each in seconds:
-            given.answered("s", each)
+            given.record_latency("s", each)
         route = policy.Route(
             "r", "h", "/", IDEMPOTENT, (), target_latency_seconds=self.TARGET
         )
-        self.assertAlmostEqual(given.patience(route, "s"), expected, msg=name)
+        self.assertAlmostEqual(given.hedge_delay(route, "s"), expected, msg=name)
--- a/tests/test_relay_outcomes.py
+++ b/tests/test_relay_outcomes.py
@@ -1,4 +1,4 @@
-"""Requests that are passed on: what each way of failing means for the caller."""
+"""Tests of relayed requests: the caller's answer after each kind of failure."""
 
 import eventlet
 from nose2 import tools
@@ -12,29 +12,35 @@
 cut = relay_support.cut
 close = relay_support.close
 hang = relay_support.hang
-others_answer = relay_support.others_answer
+answer_with_other_id = relay_support.answer_with_other_id
 OK = relay_support.OK
 FULL = relay_support.FULL
-ELSEWHERE = relay_support.ELSEWHERE
+MISDIRECTED = relay_support.MISDIRECTED
 FAILED = relay_support.FAILED
-FOREIGN = relay_support.FOREIGN
+NOT_GENUINE = relay_support.NOT_GENUINE
 IDEMPOTENT = relay_support.IDEMPOTENT
 ONCE = relay_support.ONCE
 
 
 class Outcomes(relay_support.RelayCase):
-    """The caller's answer, and how often each upstream was asked."""
+    """The caller's answer, and the number of requests that each upstream received."""
 
     @tools.params(
         ("answered", IDEMPOTENT, (OK, OK), 200, [1, 0]),
         ("full, then answered", IDEMPOTENT, (FULL, OK), 200, [1, 1]),
-        ("another's address", IDEMPOTENT, (ELSEWHERE, OK), 200, [1, 1]),
+        ("address of another incarnation", IDEMPOTENT, (MISDIRECTED, OK), 200, [1, 1]),
         ("failed, then answered", IDEMPOTENT, (FAILED, OK), 200, [1, 1]),
         ("closed, then answered", IDEMPOTENT, (close, OK), 200, [1, 1]),
         ("cut, then answered", IDEMPOTENT, (cut, OK), 200, [1, 1]),
         ("hung, then answered", IDEMPOTENT, (hang, OK), 200, [1, 1]),
-        ("other's answer", IDEMPOTENT, (others_answer, OK), 200, [1, 1]),
-        ("not its own answer", IDEMPOTENT, (FOREIGN, OK), 200, [1, 1]),
+        (
+            "answer to another request",
+            IDEMPOTENT,
+            (answer_with_other_id, OK),
+            200,
+            [1, 1],
+        ),
+        ("answer is not genuine", IDEMPOTENT, (NOT_GENUINE, OK), 200, [1, 1]),
         ("ends with its connection", IDEMPOTENT, (unframed,), 200, [1]),
         ("both failed", IDEMPOTENT, (FAILED, FAILED), 500, [1, 1]),
         ("both full", IDEMPOTENT, (FULL, FULL), "not run", [1, 1]),
@@ -91,12 +97,13 @@
         self.assertLess(clock.now() - began, 0.7)
 
 
-class Hurry(relay_support.RelayCase):
-    def test_hurried_callers_do_not_drive_others_away(self):
-        """Callers with a few milliseconds each time out at a healthy upstream.
+class ShortDeadlines(relay_support.RelayCase):
+    def test_short_deadlines_do_not_put_an_upstream_into_backoff(self):
+        """Callers with deadlines of a few milliseconds time out at a healthy upstream.
 
-        Held against it, the next caller would be sent to the far one, and with all
-        upstreams marked to whichever was marked first.
+        If these timeouts counted as the upstream's failures, it would be in backoff,
+        and the next caller's request would be sent to the upstream in the other zone.
+        With all upstreams in backoff, it would be sent to the one that failed first.
         """
 
         def slowly(connection, received):
@@ -106,6 +113,6 @@
         relay_ = self.relay(slowly, OK)
         for _ in range(3):
             self.handle(relay_, seconds=0.03, max_attempts=1)
-        # An answer of 0.05 s is in time for this one: nobody else is asked beside it.
+        # With this target an answer after 0.05 s is not late, so it is not hedged.
         self.handle(relay_, target=0.4)
         self.assertEqual(self.n_received()[1], 0)
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -5,7 +5,7 @@
 
 from bilberrydrum import quarantine, reasons
 from bilberrydrum.fleet import messages
-from bilberrydrum.relay import courses, model
+from bilberrydrum.relay import model, relayed_requests
 from bilberrydrum.requests import fingerprints
 from bilberrydrum.state import client
 from tests import relay_support
@@ -73,7 +73,7 @@
             return "final"
         if given.may_have_run:
             return "ran"
-        least, most = courses.DOUBTFUL_RETRY_RANGE
+        least, most = relayed_requests.SUSPECTED_RETRY_RANGE
         self.assertTrue(least <= given.retry_after_seconds <= most)
         return "come back"
 
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -1,4 +1,4 @@
-"""Streams that are passed on: how they go on, and when they are whole."""
+"""Tests of relayed streams: when they are resumed, and when they are complete."""
 
 import socket
 import struct
@@ -14,10 +14,10 @@
 ID = relay_support.ID
 answer = relay_support.answer
 close = relay_support.close
-others_answer = relay_support.others_answer
+answer_with_other_id = relay_support.answer_with_other_id
 FULL = relay_support.FULL
 FAILED = relay_support.FAILED
-FOREIGN = relay_support.FOREIGN
+NOT_GENUINE = relay_support.NOT_GENUINE
 
 
 def events(*numbers, is_whole=True):
@@ -35,7 +35,10 @@
 
 
 def framed(framing, *numbers):
-    """Return a script whose answer tells its end as `framing` says, or lacks it."""
+    """Return a script that answers with this framing: chunks, a length or neither.
+
+    "cut in its ..." has the framing but ends before the announced end.
+    """
     if framing.endswith("chunks"):
         return events(*numbers, is_whole=framing == "chunks")
 
@@ -58,7 +61,7 @@
 
 
 class Streams(relay_support.RelayCase):
-    """What the caller of a stream gets, and how often each upstream was asked."""
+    """The caller's events, and the number of requests that each upstream received."""
 
     def stream(self, scripts, is_resumable, headers=None, n_attempts=2, method="POST"):
         self.relay(*scripts)
@@ -98,7 +101,7 @@
         ("cut", (CUT, events(3)), False, [1, 2], "broken", [1, 0]),
         ("cut, resumed", (CUT, events(3)), True, [1, 2, 3], "whole", [1, 1]),
         ("cut in an event", (half_an_event, events(2)), True, [1, 2], "whole", [1, 1]),
-        ("resumed elsewhere wrongly", (CUT, events(1)), True, [1, 2], "broken", [1, 1]),
+        ("resumed from event 1", (CUT, events(1)), True, [1, 2], "broken", [1, 1]),
         (
             "cut twice",
             (CUT, events(3, is_whole=False)),
@@ -107,10 +110,17 @@
             "broken",
             [1, 1],
         ),
-        ("resumed by a stranger", (CUT, FOREIGN), True, [1, 2], "broken", [1, 1]),
+        ("resumed, not genuine", (CUT, NOT_GENUINE), True, [1, 2], "broken", [1, 1]),
         ("resumed and failed", (CUT, FAILED), True, [1, 2], "broken", [1, 1]),
         ("resumed, both full", (CUT, FULL, FULL), True, [1, 2], "broken", [1, 1, 1]),
-        ("resumed as another's", (CUT, others_answer), True, [1, 2], "broken", [1, 1]),
+        (
+            "resumed, another id",
+            (CUT, answer_with_other_id),
+            True,
+            [1, 2],
+            "broken",
+            [1, 1],
+        ),
         ("closed", (close, events(1)), False, [], "may have run", [1, 0]),
         ("closed, resumable", (close, events(1)), True, [1], "whole", [1, 1]),
         ("failed", (FAILED, events(1)), False, [], "500", [1, 0]),
@@ -121,7 +131,7 @@
         self.assertEqual(self.stream(scripts, is_resumable), (numbers, outcome), name)
         self.assertEqual(self.n_received(), n_received, name)
 
-    def test_resumed_after_the_last_whole_event(self):
+    def test_resumed_after_the_last_complete_event(self):
         self.stream((self.CUT, events(3)), True)
         self.assertEqual(self.servers[1].received[0].headers["last"], "2")
 
@@ -134,7 +144,11 @@
         ("twice", events(5, 5), ["4", "5"]),
     )
     def test_stream_that_its_caller_resumes(self, name, first, asked_after):
-        """What does not follow the caller's own number is asked for elsewhere."""
+        """The caller resumes after event 4, and an upstream continues with a wrong one.
+
+        Forwarded, the caller's text would have a gap or a repetition. So the rest is
+        requested from another upstream.
+        """
 
         def sound(connection, received):
             numbers = range(int(received.headers["last"]) + 1, 7)
@@ -152,19 +166,21 @@
         ("cut in its chunks", "broken"),
         ("cut in its length", "broken"),
     )
-    def test_answer_without_an_event_to_a_stream_that_goes_on(self, framing, outcome):
-        """The caller's stream ends as complete, and half of its events are missing.
-
-        The first run breaks off after event 2. The engine that is asked to go on after
-        it answers 200 and ends at once, as its own run fails. One that has nothing to
-        add says so by its length or last chunk, in 125 of 125 answers of a play; one
-        that ended before its first event left it out (9 of 9). An answer that only
-        closes says nothing, so the caller must see a break.
+    def test_resumed_stream_without_further_events(self, framing, outcome):
+        """A stream of which the second half is missing ends as complete.
+
+        The first run breaks off after event 2. The engine that is asked to resume after
+        it answers 200, and its own run fails before the first event. An engine that has
+        nothing to add marks the end by a length or a last chunk (125 of 125 answers in
+        an experiment); one that crashed before its first event did not (9 of 9). So an
+        answer that merely ends with its connection must reach the caller as a break.
         """
         given = self.stream((self.CUT, framed(framing)), True)
         self.assertEqual(given, ([1, 2], outcome))
 
-    def test_another_engine_is_asked_after_an_answer_that_only_closes(self):
+    def test_another_engine_is_asked_after_an_answer_that_ends_with_its_connection(
+        self,
+    ):
         asked_after = []
 
         def go_on(connection, received):
@@ -177,7 +193,8 @@
         self.assertEqual(asked_after, ["2", "2"])
 
     @tools.params(
-        # Framing, whether it may be resumed, the caller's own last number; the outcome.
+        # Framing of the answer, whether the stream is resumable, the number after which
+        # the caller resumes it; the expected events and outcome.
         ("chunks", True, None, [1], "whole"),
         ("length", True, None, [1], "whole"),
         ("close", True, None, [1], "whole"),
@@ -193,12 +210,13 @@
     def test_first_answer_without_an_event(
         self, framing, is_resumable, last, numbers, outcome
     ):
-        """The caller gets a complete stream of no events at all.
+        """The caller gets a stream without any event that looks complete.
 
-        The engine takes the request, answers 200, and its run fails before event 1, or
-        before the event after the one that the caller had read. Where the stream may be
-        resumed another engine is asked, and where not its caller sees a break. A caller
-        that had read the very last event is told that there are no more.
+        The engine accepts the request, answers 200, and its run fails before event 1,
+        or before the event after the last one that the caller has. A resumable stream
+        is requested from another engine; of any other one the caller sees a break. A
+        caller that resumes after the very last event gets a complete stream without
+        events.
         """
         headers = {} if last is None else {"Last": last}
         scripts = (framed(framing), events(*(numbers or [1])))
@@ -206,10 +224,11 @@
         self.assertEqual(given, (numbers, outcome))
 
     @tools.params((True, [1, 2], "whole"), (False, [1], "broken"))
-    def test_reset_does_not_end_a_stream(self, is_resumable, numbers, outcome):
-        """The upstream ends between two events of an answer without length or chunks.
+    def test_reset_is_not_the_end_of_a_stream(self, is_resumable, numbers, outcome):
+        """The upstream crashes between two events of an answer without framing.
 
-        Its connections are reset. Read as an end, the reset made the stream look whole.
+        Its connections are reset. If the reset is read as the end of the answer, the
+        truncated stream looks complete.
         """
 
         def reset(connection, received):
@@ -224,7 +243,7 @@
         given = self.stream((reset, events(2)), is_resumable)
         self.assertEqual(given, (numbers, outcome))
 
-    def test_answer_that_has_no_body_by_its_method_is_whole(self):
+    def test_answer_to_a_head_request_is_complete(self):
         given = self.stream((framed("length"),), True, method="HEAD")
         self.assertEqual((given, self.n_received()), (([], "whole"), [1]))
 
@@ -236,11 +255,11 @@
     def test_stream_that_does_not_begin_with_its_first_event(
         self, name, first, second, is_resumable, numbers, outcome
     ):
-        """The caller gets a complete stream that lacks its beginning.
+        """The caller gets a stream without its beginning that looks complete.
 
-        No event was asked to be skipped, and the engine's answer begins with event 2,
-        as one does that was made for a resumed request. Any number was taken for the
-        first.
+        The request did not ask to resume, but the engine's answer begins with event 2,
+        like an answer to a request that resumes after event 1. The relay must not
+        accept an arbitrary number for the first event.
         """
         given = self.stream((first, second), is_resumable)
         self.assertEqual(given, (numbers, outcome), name)
--- a/tests/test_requests_attempts.py
+++ b/tests/test_requests_attempts.py
@@ -1,4 +1,4 @@
-"""What each way of answering wrongly means to the caller."""
+"""Tests of attempts: which error each kind of malformed or missing answer gives."""
 
 import unittest
 import unittest.mock
@@ -21,7 +21,7 @@
 
 
 def means() -> attempts.Means:
-    return attempts.Means(connections.Connections(), watch.Watch())
+    return attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
 
 
 def outgoing(request_id="r1", seconds=5.0, method="GET", **fields):
@@ -65,7 +65,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Le"
 
 
-class Whole(unittest.TestCase):
+class CompleteAnswers(unittest.TestCase):
     def setUp(self):
         self.means = means()
         self.upstreams = []
@@ -82,7 +82,7 @@
 
     @tools.params(
         ("body shorter than its length", truncated, Reason.ANSWER_TRUNCATED),
-        ("cut exactly at a chunk's edge", cut_at_chunk_edge, Reason.ANSWER_TRUNCATED),
+        ("truncated between two chunks", cut_at_chunk_edge, Reason.ANSWER_TRUNCATED),
         ("neither length nor chunks", no_length, Reason.ANSWER_TRUNCATED),
         ("too large", lambda r: scripted.answer(r, b"x" * 99), Reason.UPSTREAM_ERROR),
         ("for another request", other_id, Reason.ANSWER_MISMATCHED),
@@ -90,11 +90,11 @@
         ("closed without an answer", nothing, Reason.CONNECTION_RESET),
         ("closed in the head", half_a_head, Reason.ANSWER_TRUNCATED),
     )
-    def test_answer_that_is_not_whole_is_a_failure(self, name, make, reason):
-        """The service's answer is cut short or not the one asked for.
+    def test_incomplete_answer_is_a_failure(self, name, make, reason):
+        """The service's answer is truncated, malformed or belongs to another request.
 
-        The caller must not get it as whole, and since bytes went out the request may
-        have run.
+        The caller must not get it as a complete answer. Since bytes of the request were
+        sent, it may have run.
         """
         fake = self.upstream(scripted.serve_and_close(make))
         with (
@@ -109,14 +109,14 @@
     @tools.params(
         ("may be repeated", {"may_repeat": True}, False, [1, 1]),
         ("may not", {}, True, [1]),
-        ("uses fresh ones only", {"uses_kept": False}, False, [1, 1]),
+        ("uses fresh ones only", {"may_use_kept": False}, False, [1, 1]),
     )
     def test_kept_connection_was_dropped(self, name, fields, is_lost, expected):
-        """The upstream has dropped an idle connection without a word.
+        """The upstream has dropped an idle connection without closing it.
 
-        What is sent next on it is reset although the upstream is well. A request that
-        may be repeated goes out again on a fresh connection, and its caller sees
-        nothing of it.
+        The next request on it is reset although the upstream is healthy. A request that
+        may be repeated is sent again on a fresh connection, and its caller does not
+        notice.
         """
         received = []
 
@@ -129,7 +129,7 @@
         first = self.call(fake)
         self.assertEqual(first.status, 200)
         with unittest.mock.patch.object(
-            connections, "_is_silent", lambda connection: True
+            connections, "_has_no_input", lambda connection: True
         ):
             if is_lost:
                 with self.assertRaises(attempts.AttemptError) as caught:
@@ -149,8 +149,11 @@
         self.assertEqual(caught.exception.reason, Reason.CONNECT_FAILED)
         self.assertFalse(caught.exception.may_have_run)
 
-    def test_time_that_runs_out_before_the_first_byte_is_known_not_to_have_run(self):
-        """Connecting takes until the deadline: no byte of the request went out."""
+    def test_timeout_before_the_first_byte_is_known_not_to_have_run(self):
+        """The deadline passes while the connection is established.
+
+        No byte of the request was sent, so the caller must be told that it did not run.
+        """
         fake = self.upstream(scripted.serve(scripted.answer))
         with (
             unittest.mock.patch.object(
@@ -163,10 +166,10 @@
         self.assertFalse(caught.exception.may_have_run)
 
     def test_late_answer_reaches_nobody(self):
-        """An answer comes after its request was given up on; another request follows.
+        """An answer arrives after its request timed out, and another request follows.
 
-        On the same connection the second caller would read the first one's answer.
-        The connection of the first is closed when it is given up on.
+        If the connection were reused, the second caller would read the first one's
+        answer. So the connection is closed at the timeout.
         """
 
         def script(connection, received):
@@ -183,11 +186,11 @@
         eventlet.sleep(0.15)
         self.assertEqual(self.call(fake, request_id="next").body, b"next")
 
-    def test_answer_that_comes_again_on_an_idle_connection_is_thrown_away(self):
+    def test_duplicate_answer_on_an_idle_connection_is_discarded(self):
         """The service answers one request twice, the second time a little later.
 
-        The copy waits on the connection that is kept for reuse. The next request must
-        not read it, and need not fail either.
+        The duplicate arrives on the idle connection that is kept for reuse. The next
+        request must not read it, and need not fail either.
         """
 
         def script(connection, received):
@@ -202,10 +205,11 @@
         eventlet.sleep(0.05)
         self.assertEqual(self.call(fake, request_id="next").body, b"next")
 
-    def test_answer_that_comes_again_after_the_next_request_is_refused(self):
-        """The copy comes when the next request is already out on the connection.
+    def test_duplicate_answer_after_the_next_request_is_refused(self):
+        """A duplicate answer arrives when the next request was already sent.
 
-        It is the first thing read there. Only its id tells whose answer it is.
+        It is read first on that connection. Only its id shows that it belongs to
+        another request.
         """
 
         def script(connection, received):
@@ -229,10 +233,10 @@
         self.assertEqual(self.call(fake, request_id="next").body, b"ok")
 
     def test_connection_without_ids_is_not_used_again(self):
-        """A service that names no request in its answers sends one of them twice.
+        """A service whose answers carry no id may send one of them twice.
 
-        Nothing but the id tells the copy from the next answer, so a connection without
-        ids serves one request.
+        Without ids a duplicate can't be distinguished from the next answer, so each
+        connection serves one request.
         """
 
         def script(connection, received):
@@ -253,9 +257,9 @@
         self.assertEqual(fake.n_connections, 1)
 
     def test_request_that_may_run_once_takes_a_fresh_connection(self):
-        """An idle connection may be closing as the request goes out on it.
+        """The upstream may close an idle connection while a request is sent on it.
 
-        It would be lost without a trace, and its outcome unknown for no need.
+        The request would be lost with unknown outcome. A fresh connection avoids that.
         """
         fake = self.upstream(scripted.serve(scripted.answer))
         self.call(fake)
@@ -263,9 +267,10 @@
         self.assertEqual(fake.n_connections, 2)
 
     def test_first_byte_may_take_longer_than_connecting(self):
-        """An engine's queue holds a call for longer than connecting may take.
+        """A call waits in an engine's queue for longer than connecting may take.
 
-        The time for connecting is no bound on the answer; only the deadline is.
+        The timeout for connecting must not bound the wait for the answer; only the
+        deadline does.
         """
 
         def script(connection, received):
@@ -275,8 +280,11 @@
         with unittest.mock.patch.object(attempts, "CONNECT_SECONDS", 0.05):
             self.assertEqual(self.call(self.upstream(script)).body, b"ok")
 
-    def test_nothing_is_sent_when_it_is_too_late(self):
-        """The claim is over by the time the connection stands: no byte goes out."""
+    def test_nothing_is_sent_after_the_claim_expired(self):
+        """The claim expires while the connection is established.
+
+        Another gateway may send the request by then, so no byte may be sent here.
+        """
         fake = self.upstream(scripted.serve(scripted.answer))
         with self.assertRaises(attempts.AttemptError) as caught:
             self.call(
@@ -288,10 +296,10 @@
         self.assertEqual(fake.received, [])
 
     def test_client_that_hangs_up_ends_the_call_and_its_work(self):
-        """The caller is gone while the service works: the connection is closed.
+        """The caller closes its connection while the service runs the request.
 
-        A service that sees its client gone can stop; the caller's place is free for
-        others at once, not at the deadline.
+        The connection to the service must be closed too, so that the service can cancel
+        the work, and its capacity is free at once and not only at the deadline.
         """
         fake = self.upstream(lambda connection, received: eventlet.sleep(30))
         self.means.clients.start()
@@ -302,8 +310,11 @@
             self.call(fake, seconds=30.0, is_client_gone=lambda: bool(gone))
         self.assertEqual(caught.exception.reason, Reason.CALLER_GONE)
 
-    def test_what_may_run_once_is_not_broken_off(self):
-        """The caller of a booking hangs up: the result is kept for its retry."""
+    def test_request_that_must_not_run_twice_is_not_cancelled(self):
+        """The caller of a booking closes its connection while the booking runs.
+
+        The attempt must not be cancelled: its result is kept for the caller's retry.
+        """
 
         def script(connection, received):
             eventlet.sleep(0.1)
@@ -314,7 +325,7 @@
             self.call, fake, is_idempotent=False, is_client_gone=lambda: True
         )
         eventlet.sleep(0.05)
-        self.means.clients.look()
+        self.means.clients.check_all()
         self.assertEqual(task.wait().body, b"booked")
 
 
@@ -327,7 +338,7 @@
 
 class Streams(unittest.TestCase):
     @tools.params(
-        ("no marker", [tokens(), END], None),
+        ("no [DONE] marker", [tokens(), END], None),
         ("no finish reason", [tokens(), scripted.DONE], Reason.ANSWER_TRUNCATED),
         ("nothing at all", [], None),
         ("another request's tokens", [tokens("r0")], Reason.ANSWER_MISMATCHED),
@@ -342,7 +353,7 @@
             Reason.ANSWER_MISMATCHED,
         ),
         (
-            "the end twice",
+            "finish reason and marker twice",
             [tokens(), END, scripted.DONE, END, scripted.DONE],
             Reason.ANSWER_MISMATCHED,
         ),
@@ -354,24 +365,22 @@
             Reason.UPSTREAM_ERROR,
         ),
         (
-            "token ids that are none",
+            "token ids that are no integers",
             [b'data: {"id": "r1", "choices": [{"token_ids": ["x"]}]}\n\n'],
             Reason.UPSTREAM_ERROR,
         ),
         ("unknown finish reason", [tokens(finish_reason="!")], Reason.UPSTREAM_ERROR),
         (
-            "endless event",
+            "event without an end",
             [b"data: " + b"x" * (events.MAX_EVENT_BYTES + 1)],
             Reason.UPSTREAM_ERROR,
         ),
     )
-    def test_stream_that_is_not_whole_is_told_from_one_that_is(
-        self, name, parts, reason
-    ):
-        """An engine's stream ends early, says too much, or belongs to another.
+    def test_incomplete_stream_does_not_finish(self, name, parts, reason):
+        """An engine's stream is truncated, has events after its end, or is another's.
 
-        None of them may end as `Finished`: a sample or an answer would be cut short,
-        or made of another request's tokens.
+        None of these may end as `Finished`. Otherwise a sample or an answer would be
+        truncated, or contain tokens of another request.
         """
         reader = events.StreamReader("r1", "u")
         seen = []
@@ -386,8 +395,8 @@
             self.assertFalse(reader.is_done)
             self.assertFalse(any(isinstance(e, model.Finished) for e in seen))
 
-    def test_cuts_between_reads_change_nothing(self):
-        """The network cuts a stream anywhere; the events are the same."""
+    def test_stream_is_parsed_in_parts_of_any_size(self):
+        """The stream is read in parts of any size; the events are the same."""
         text = tokens(text="é") + tokens(token_ids=[1, 2]) + END + scripted.DONE
         whole = events.StreamReader("r1", "u").feed(text)
         self.assertEqual(len(whole), 3)
--- a/tests/test_requests_connections.py
+++ b/tests/test_requests_connections.py
@@ -1,9 +1,9 @@
-"""Connecting to upstreams: what fails leaves nothing behind and has an end.
+"""Tests of connecting to upstreams: failed attempts time out and close their sockets.
 
-An upstream's host refuses connections, or takes none and says nothing, as when it is
-cut off. A gateway that leaves the sockets of such tries open runs out of them, and
-refuses its own callers; one that waits without a bound keeps the caller's request, and
-the place that it holds, until the network gives up, after two minutes.
+An upstream's host refuses connections, or does not answer at all because it is cut off.
+A gateway that left the sockets of failed attempts open would run out of descriptors and
+refuse its own callers. One that waited without a timeout would hold the caller's
+request, and the capacity granted to it, until the kernel gives up after two minutes.
 """
 
 import contextlib
@@ -23,7 +23,11 @@
 
 
 class Recorded(connections._Socket):
-    """A socket that is kept in sight, so that only closing it closes it."""
+    """A socket that the test keeps a reference to.
+
+    A socket without references is closed when it is collected, which would hide that
+    the code under test did not close it.
+    """
 
     made = []
 
@@ -37,10 +41,10 @@
 
 
 class ConnectingCase(unittest.TestCase):
-    """Connections that are made while their sockets are watched."""
+    """Test case that records the sockets of the connections that are made."""
 
     def setUp(self):
-        self.pool = connections.Connections()
+        self.pool = connections.ConnectionPool()
         self.addCleanup(self.pool.close)
         self.sockets = []
         for patch in (
@@ -57,12 +61,12 @@
         return listener
 
     def keep(self, kept):
-        """Keep a socket until the end of the test: one that nobody holds is closed."""
+        """Keep a socket open until the end of the test."""
         self.addCleanup(lambda: kept.close())
         return kept
 
     def silent_address(self):
-        """Return an address whose host answers no more attempts to connect."""
+        """Return an address at which further attempts to connect get no answer."""
         listener = self.listener()
         listener.listen(0)
         address = listener.getsockname()
@@ -74,7 +78,7 @@
         return address_of(address)
 
     def begin(self, address, timeout=TIMEOUT_SECONDS):
-        """Begin to connect in a task of its own; return the task and its outcome."""
+        """Begin to connect in a separate task; return the task and its outcomes."""
         outcomes = []
 
         def take():
@@ -102,17 +106,17 @@
 
 
 class Failing(ConnectingCase):
-    """Each way that connecting fails, and the socket that it used."""
+    """After each kind of failure to connect, the socket is closed."""
 
     def test_refused(self):
-        """Nothing listens there: the host answers with a reset at once."""
+        """No process listens at the port, and the host answers with a reset."""
         address = address_of(self.listener().getsockname())
         with self.assertRaises(ConnectionRefusedError):
             self.pool.take(address, TIMEOUT_SECONDS)
         self.assert_one_closed()
 
     def test_no_answer(self):
-        """The host drops what it is sent; the try ends after the time it was given."""
+        """The host does not answer; connecting ends after its timeout."""
         address = self.silent_address()
         with helpers.manual_clock() as hub_clock:
             _, outcomes = self.begin(address)
@@ -126,8 +130,8 @@
         self.assertEqual([type(each) for each in outcomes], [TimeoutError])
         self.assert_one_closed()
 
-    def test_broken_off(self):
-        """The caller's time ends while its request's connection is being made."""
+    def test_killed_while_connecting(self):
+        """The caller's deadline passes while the connection is established."""
         address = self.silent_address()
         task, outcomes = self.begin(address)
         self.assertEqual([each.is_closed for each in self.sockets], [False])
@@ -135,9 +139,9 @@
         self.assertEqual(outcomes, [])
         self.assert_one_closed()
 
-    def test_no_way_there(self):
-        """The host's own network refuses the address before anything is sent."""
-        error = OSError(errno.ENETUNREACH, "no way there")
+    def test_no_route(self):
+        """The local kernel has no route to the address, so nothing is sent."""
+        error = OSError(errno.ENETUNREACH, "no route to host")
         with (
             mock.patch.object(Recorded, "connect", side_effect=error),
             self.assertRaises(OSError) as caught,
@@ -148,12 +152,13 @@
 
 
 class Connected(ConnectingCase):
-    """What a connection is like once it is made."""
+    """The properties of an established connection."""
 
-    def test_time_to_connect_is_no_bound_on_what_follows(self):
-        """The attempt's deadline bounds each read; a socket's own bound would cut off.
+    def test_connect_timeout_does_not_apply_to_reads(self):
+        """An upstream's first byte takes longer than connecting may.
 
-        An upstream's first byte may take longer than connecting may.
+        The attempt's deadline bounds each read. If the socket kept the timeout for
+        connecting, such answers would be aborted.
         """
         listener = self.listener()
         listener.listen(1)
@@ -164,7 +169,10 @@
 
     @tools.params(("IPv4", "127.0.0.1", "{}:{}"), ("IPv6", "::1", "[{}]:{}"))
     def test_family_and_delay(self, name, host, written):
-        """Small requests go out at once: each waits up to 40 ms for the one before."""
+        """The connection works with IPv4 and IPv6, and has Nagle's algorithm off.
+
+        With it on, a small request may wait up to 40 ms for the one before.
+        """
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         listener = self.listener(family, host)
         listener.listen(1)
--- a/tests/test_requests_crashes.py
+++ b/tests/test_requests_crashes.py
@@ -37,7 +37,7 @@
                 self.n_ended += 1
                 server.stop()
             elif kind == "engine":
-                connection.sendall(scripted.whole_stream(received))
+                connection.sendall(scripted.complete_stream(received))
             else:
                 connection.sendall(scripted.answer(received))
             return not is_marked
