--- a/tests/test_requests_dispatch.py
+++ b/tests/test_requests_dispatch.py
@@ -1,4 +1,4 @@
-"""Calls to plain services that fail, through the dispatcher."""
+"""Tests of the dispatcher with plain services that fail."""
 
 import unittest
 import unittest.mock
@@ -40,13 +40,16 @@
     @tools.params(
         ("reset after the request", scripted.serve_and_close(lambda r: b"")),
         (
-            "cut in the body",
+            "truncated in the body",
             scripted.serve_and_close(lambda r: scripted.answer(r)[:-1]),
         ),
         ("503", scripted.serve(lambda r: scripted.answer(r, status="503 Busy"))),
     )
     def test_call_that_may_run_once_is_sent_once(self, name, script):
-        """A booking fails after its bytes went out: nobody may send it again."""
+        """A booking fails after bytes of it were sent.
+
+        It may have run, so it must not be sent again.
+        """
         self.application("a1", script)
         self.application("a2", script)
         answer = self.dispatcher.call_application(
@@ -59,7 +62,10 @@
             self.assertEqual(answer.ok_value.status, 503)
 
     def test_call_that_may_run_once_goes_on_after_a_refused_connection(self):
-        """No byte went out to the first, so the second is the only one to get it."""
+        """The first service refuses the connection.
+
+        No byte was sent to it, so the call may be sent to the second one.
+        """
         self.application("a1", scripted.serve(scripted.answer))
         self.application("a2", scripted.serve(scripted.answer))
         self.fakes["a1"].stop()
@@ -77,9 +83,9 @@
         self.assertFalse(answer.err_value.may_have_run)
 
     def test_retries_stay_within_the_budget(self):
-        """Every service fails: each call could be made three times.
+        """All services fail, and each call would be attempted three times.
 
-        That would be three times the load when there is the least capacity.
+        Unbounded retries would triple the load at the moment of the least capacity.
         """
         reset = scripted.serve_and_close(lambda received: b"")
         for i in range(4):
@@ -87,10 +93,10 @@
         n_calls = 100
         for _ in range(n_calls):
             self.dispatcher.call_application(application_call())
-        # A fifth of the calls, what was saved up at first, and what time adds.
+        # A fifth of the calls, the budget's initial content, and what time adds.
         self.assertLessEqual(self.n_received(), n_calls * 1.2 + 15)
 
-    def test_last_answer_of_failing_services_is_the_callers(self):
+    def test_last_answer_of_failing_services_is_forwarded(self):
         failing = scripted.serve(lambda r: scripted.answer(r, b"no", "503 Busy"))
         self.application("a1", failing)
         self.application("a2", failing)
@@ -103,7 +109,7 @@
         bad = self.application("a1", reset)
         self.application("a2", scripted.serve(scripted.answer))
         for _ in range(60):
-            self.dispatcher.budget.first_attempt()
+            self.dispatcher.budget.count_first_attempt()
             self.dispatcher.call_application(application_call())
         self.assertEqual(len(bad.received), health.EJECT_AFTER)
         bad.script = scripted.serve(scripted.answer)
@@ -114,10 +120,11 @@
         self.assertGreater(len(bad.received), health.EJECT_AFTER)
         self.assertEqual(self.dispatcher._router.health._records_by_id, {})
 
-    def test_callers_without_patience_do_not_have_a_service_ejected(self):
-        """A caller allows a few milliseconds; the service needs more.
+    def test_short_deadlines_do_not_have_a_service_ejected(self):
+        """Callers have deadlines of a few milliseconds; the service needs more.
 
-        That says nothing about the service: others with more time are served by it.
+        If these timeouts had the service ejected, callers with longer deadlines, whom
+        it could serve, would lose it.
         """
 
         def slow(connection, received):
@@ -131,13 +138,11 @@
         self.assertEqual(self.dispatcher._router.health._records_by_id, {})
 
     @tools.params(("lookup", True), ("booking", False))
-    def test_service_that_hangs_holds_up_nothing_that_may_be_repeated(
-        self, name, is_idempotent
-    ):
-        """One service hangs, with its lease standing; another one would answer.
+    def test_idempotent_call_leaves_a_hanging_service(self, name, is_idempotent):
+        """One service hangs while its lease is still valid; another one would answer.
 
-        A lookup is made there long before its deadline. A booking may have run, so it
-        waits for its own answer.
+        A lookup is sent to the other one long before its deadline. A booking may have
+        run, so it must wait for the answer of the first.
         """
         self.application("a1", scripted.serve(scripted.answer))
         self.dispatcher.call_application(application_call())
--- a/tests/test_requests_kept_connections.py
+++ b/tests/test_requests_kept_connections.py
@@ -1,4 +1,4 @@
-"""Connections that are kept for reuse, and for how long."""
+"""Tests of idle connections: they are closed when they expire."""
 
 import socket
 import unittest
@@ -13,11 +13,11 @@
     def setUp(self):
         replaced = helpers.manual_clock()
         self.clock = self.enterContext(replaced)
-        self.pool = connections.Connections()
+        self.pool = connections.ConnectionPool()
         self.addCleanup(self.pool.close)
 
     def keep(self, address, **fields):
-        """Keep a connection that has just served a request; return its socket."""
+        """Add an idle connection to the pool; return its socket."""
         host, _, port = address.partition(":")
         connection = connections.Connection(host, int(port))
         connection.sock, other = socket.socketpair()
@@ -25,13 +25,14 @@
         self.pool.keep(address, connection, **fields)
         return connection.sock
 
-    def test_upstreams_that_nothing_is_sent_to_any_more(self):
-        """A store before 300 engines has 1,172 connections, 4 for each engine.
+    def test_idle_connections_to_unused_upstreams_expire(self):
+        """A store keeps more idle connections than it may have descriptors.
 
-        Kept connections were looked at only when one to the same upstream was taken,
-        the last one kept first. Those below it, and all to an engine that has no work
-        for a while, stayed open: up to one for each place at each engine. Before 3,000
-        engines these are more than the process may have descriptors.
+        With 300 engines it had 1,172, four for each engine. Idle connections were
+        checked only when one to the same upstream was taken, and the one kept last is
+        taken first. The others, and all to an engine without work, stayed open: up to
+        one for each run slot of each engine. With 3,000 engines these are more than the
+        process's limit of descriptors.
         """
         kept = [self.keep(f"10.0.0.{n}:80") for n in range(100) for _ in range(3)]
         self.clock.advance(connections.MAX_IDLE_SECONDS + 0.1)
@@ -51,7 +52,10 @@
         self.assertEqual(first.fileno(), -1, name)
 
     def test_connection_in_use(self):
-        """One that was taken is nobody's to close, also if it is kept again later."""
+        """A connection in use must not be closed by the check for expired ones.
+
+        Nor may the time at which it was first kept count after it is kept again.
+        """
         server = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(server.close)
         address = f"127.0.0.1:{server.getsockname()[1]}"
--- a/tests/test_requests_processes.py
+++ b/tests/test_requests_processes.py
@@ -1,4 +1,4 @@
-"""A real daemon is told to stop while callers ask without end."""
+"""Test of the graceful shutdown of a daemon process under load."""
 
 import pathlib
 import tempfile
@@ -11,11 +11,12 @@
 
 class GracefulShutdown(unittest.TestCase):
     def test_no_request_is_cut_off(self):
-        """SIGTERM comes under load: streams of a second and calls that wait their turn.
+        """SIGTERM arrives while streams of one second run and calls wait in the queue.
 
-        What is in flight ends whole, also what begins while the balancer has not
-        noticed yet. Each answer says that its connection ends, and the callers go
-        elsewhere, until all have; then the daemon exits with 0.
+        No request may be cut off: those in flight are completed, as are those that
+        arrive while the load balancer has not noticed yet. Each answer announces that
+        its connection will be closed. When all callers have left, the daemon exits with
+        status 0.
         """
         with (
             tempfile.TemporaryDirectory() as folder,
@@ -50,7 +51,7 @@
                     kwargs={"headers": ("X-Caller: busy",), "n_connections": 16},
                 ),
             ]
-            # Streams first, so that both kinds are under way.
+            # Streams are started first, so that both kinds are in flight.
             for n_answered, caller in zip((16, 48), callers, strict=True):
                 caller.start()
                 processes.wait_for(
--- a/tests/test_requests_resets.py
+++ b/tests/test_requests_resets.py
@@ -1,9 +1,10 @@
-"""Answers that end with their connection: closed in order they are whole, reset not.
+"""Tests of answers without a length or chunks, which end with their connection.
 
-Callers got look-ups that were cut short and framed as whole, and half a text was listed
-as an item's whole one: `outcome` completed with `framing` close, while the upstream's
-run had broken off and its connection been reset. eventlet's sockets read a reset as the
-end of what there is, so nothing in this program saw a difference.
+Such an answer is complete if the connection is closed in order, and truncated if it is
+reset. Callers once got truncated answers to look-ups as complete ones, and half a text
+was stored as the complete text of an item: `outcome` completed with `framing` close,
+although the upstream's run had broken off and its connection had been reset. eventlet's
+own sockets report a reset as the end of the data, so the difference went unnoticed.
 """
 
 import socket
@@ -19,9 +20,9 @@
 from bilberrydrum.requests import attempts, connections, outgoing_requests, watch
 from tests.fakes import node_protocol, scripted
 
-# Closing without waiting for what was sent: the peer's connection is reset.
+# Value of SO_LINGER with which closing a socket resets the connection.
 NO_LINGER = struct.pack("ii", 1, 0)
-# Time for what was sent to be read before the connection ends.
+# Time for the sent bytes to be read before the connection ends, in seconds.
 PAUSE_SECONDS = 0.05
 HEAD = f"HTTP/1.1 200 OK\r\n{node_protocol.ID}: r\r\nVersion: 1\r\n".encode()
 
@@ -33,7 +34,7 @@
             eventlet.sleep(PAUSE_SECONDS)
         if is_reset:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
-        # Closed for good, also while the stand-in still has a file of it.
+        # Close the descriptor itself: the fake upstream still has a file that uses it.
         connection.fd.close()
         return False
 
@@ -42,7 +43,7 @@
 
 class Unframed(unittest.TestCase):
     def setUp(self):
-        self.means = attempts.Means(connections.Connections(), watch.Watch())
+        self.means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
         self.addCleanup(self.means.pool.close)
 
     def upstream(self, script):
--- a/tests/test_requests_streams.py
+++ b/tests/test_requests_streams.py
@@ -1,4 +1,4 @@
-"""Streams of engines that fail, through the dispatcher."""
+"""Tests of the dispatcher with engines whose streams fail."""
 
 import json
 import unittest
@@ -33,7 +33,7 @@
 
 
 def crash_after(n_tokens):
-    """Return a script that sends some tokens, then resets the connection."""
+    """Return a script that sends some tokens, then closes the connection."""
 
     def script(connection, received):
         made = resumed(received)
@@ -58,7 +58,7 @@
 
 
 def finish(n_tokens, weight_version=3):
-    """Return a script that makes tokens up to `n_tokens`, whatever was made before."""
+    """Return a script that generates the tokens up to `n_tokens` that are missing."""
 
     def make(received):
         parts = [
@@ -92,7 +92,7 @@
         ("crash", crash_after(2), Reason.ANSWER_TRUNCATED),
         ("stall", stall_after_one, Reason.UPSTREAM_TIMEOUT),
         (
-            "cut exactly at a chunk's edge, without the marker",
+            "truncated between two chunks, without the marker",
             scripted.serve_and_close(
                 lambda received: (
                     scripted.stream_head(received)
@@ -125,10 +125,10 @@
         ),
     )
     def test_stream_is_resumed_from_the_tokens_so_far(self, name, script, reason):
-        """An engine fails in the middle of a stream; another can go on from there.
+        """An engine fails in the middle of a stream, and another can resume it.
 
-        The caller sees one stream with each token once, the later ones with the weight
-        version of the engine that made them.
+        The caller must see one stream with each token once, the later ones with the
+        weight version of the engine that generated them.
         """
         self.engine("e1", script, availability_zone="a")
         second = self.engine("e2", finish(5, 4), availability_zone="far")
@@ -141,9 +141,10 @@
         self.assertEqual(len(second.received), 1)
 
     def test_resumed_stream_goes_before_new_calls_when_the_queue_is_full(self):
-        """An engine crashed under a stream; its client's queue is full of new calls.
+        """An engine crashes during a stream, and its client's queue is full.
 
-        Refused, the stream would break off, and its tokens be made for nothing.
+        If the resumed stream were refused, it would break off, and the tokens generated
+        so far would be wasted. So a new call is refused instead.
         """
         self.start(max_queue_per_caller=1)
         self.engine("e1", finish(3), max_concurrency=1)
@@ -165,7 +166,7 @@
         self.assertIsInstance(seen[-1], model.Failed)
         self.assertTrue(seen[-1].may_have_run)
 
-    def test_dispatcher_leaves_a_begun_stream_to_its_caller(self):
+    def test_dispatcher_does_not_retry_a_stream_that_has_begun(self):
         self.engine("e1", crash_after(2))
         self.engine("e2", crash_after(2))
         seen = list(self.dispatcher.stream(call()))
@@ -176,14 +177,15 @@
         self.engine("e1", busy)
         self.engine("e2", finish(3))
         for number in range(6):
-            # A busy engine has not run what it refused, so that may be sent again.
+            # A busy engine has not run the call that it refused, so the call may be
+            # sent again even if it must not run twice.
             is_idempotent = number % 2 == 0
             seen = list(self.dispatcher.stream(call(is_idempotent=is_idempotent)))
             self.assertIsInstance(seen[-1], model.Finished)
         self.assertLessEqual(len(self.fakes["e1"].received), 1)
 
     def test_closing_the_iterator_closes_the_engines_connection(self):
-        """The caller has enough after the first token: the engine must stop."""
+        """The caller stops after the first token, so the engine must stop too."""
 
         def endless(connection, received):
             connection.sendall(scripted.stream_head(received))
@@ -202,9 +204,9 @@
         self.assertEqual(self.dispatcher.n_in_flight, 0)
 
     def test_killed_task_leaves_the_queue(self):
-        """A call that waits for a place is given up on by killing its task.
+        """The task of a call that waits for engine capacity is killed.
 
-        Its entry must go, and the place it would have got must go to another.
+        The call must leave the queue, so that the capacity is granted to another one.
         """
         self.engine("e1", lambda connection, received: eventlet.sleep(30))
         self.registry.upstreams["e1"] = upstream_model.Upstream(
@@ -224,10 +226,11 @@
         first.kill()
         self.assertEqual(self.dispatcher.n_in_flight, 0)
 
-    def test_place_given_to_a_task_that_is_killed_at_that_moment_is_given_back(self):
-        """A place falls to a waiting call, whose task is killed before it runs again.
+    def test_capacity_granted_to_a_killed_task_is_returned(self):
+        """A waiting call is granted capacity, and its task is killed before it resumes.
 
-        Nobody would ever end that call: the engine would be one place short for good.
+        No code would run that ends the call, so the engine would have one run slot less
+        permanently.
         """
         self.engine("e1", finish(1), max_concurrency=1)
         self.registry.upstreams["e1"] = self.fakes["e1"].upstream("e1")
@@ -236,7 +239,8 @@
         waiting = eventlet.spawn(list, self.dispatcher.stream(call()))
         eventlet.sleep(0.02)
         self.assertEqual(self.dispatcher.n_waiting, 1)
-        # Gives the place to the waiting call, which has not run when it is killed.
+        # This grants the capacity to the waiting call, whose task is killed before it
+        # runs.
         holder.close()
         waiting.kill()
         self.assertEqual(self.dispatcher.n_in_flight, 0)
