--- a/bilberrydrum/requests/outgoing_requests.py
+++ b/bilberrydrum/requests/outgoing_requests.py
@@ -67,7 +67,7 @@
 
     @property
     def has_begun(self) -> bool:
-        """Whether a byte may have gone out."""
+        """Whether a byte may have been sent."""
         return self.sent_at is not None
 
 
--- a/tests/test_relay_hedging.py
+++ b/tests/test_relay_hedging.py
@@ -103,7 +103,7 @@
         self.assertLess(asked, 400 * 0.05 + 20)
 
     @tools.params(
-        ("nothing known", [], 0.2),
+        ("no answers yet", [], 0.2),
         ("quick answers", [0.04] * 20, 0.2),
         ("answers take most of the target", [0.3] * 20, 0.9),
     )
