--- a/bilberrydrum/batches/item_run.py
+++ b/bilberrydrum/batches/item_run.py
@@ -168,7 +168,7 @@
     )
     try:
         first = max(HEAD_TIMEOUT_SECONDS, run.stall_seconds())
-        with attempts.waiting(means, outgoing, first):
+        with attempts.bounded_wait(means, outgoing, first):
             connection, answer = attempts.open_answer(
                 means.pool, engine.address, outgoing
             )
@@ -226,7 +226,9 @@
         # the run.
         if is_complete:
             is_named = protocol.request_id_header in answer.headers
-            attempts.settle(means.pool, engine.address, connection, answer, is_named)
+            attempts.keep_or_close(
+                means.pool, engine.address, connection, answer, is_named
+            )
         else:
             connection.close()
 
@@ -342,7 +344,7 @@
 ) -> Iterator[bytes]:
     parts = attempts.read_parts(answer)
     while True:
-        with attempts.waiting(means, outgoing, stall_seconds()):
+        with attempts.bounded_wait(means, outgoing, stall_seconds()):
             part = next(parts, None)
         if part is None:
             return
