--- a/bilberrydrum/http/upstreams.py
+++ b/bilberrydrum/http/upstreams.py
@@ -22,7 +22,7 @@
     edge_.add("PUT", path, handlers.announce, upstream)
     edge_.add("POST", f"{path}/renew", handlers.renew, upstream)
     edge_.add("POST", f"{path}/leave", handlers.leave, upstream)
-    edge_.add("POST", f"{path}/cache-events", handlers.take_cache_events, upstream)
+    edge_.add("POST", f"{path}/cache-events", handlers.handle_cache_events, upstream)
     edge_.add("GET", "/v1/upstreams", handlers.list, operator)
     edge_.add("POST", f"{path}/drain", handlers.drain, operator)
     edge_.add("DELETE", f"{path}/drain", handlers.undrain, operator)
@@ -60,10 +60,10 @@
         _done(self._registry.leave(request.variables["id"]))
         return edge.Response.of_json({})
 
-    def take_cache_events(self, request: edge.Request) -> edge.Response:
+    def handle_cache_events(self, request: edge.Request) -> edge.Response:
         """Handle ``POST /v1/upstreams/{id}/cache-events``."""
         checked = announcements.cache_events(request.variables["id"], request.json())
-        self._registry.take_cache_events(_valid(checked))
+        self._registry.handle_cache_events(_valid(checked))
         return edge.Response.of_json({})
 
     def list(self, request: edge.Request) -> edge.Response:
--- a/bilberrydrum/interfaces.py
+++ b/bilberrydrum/interfaces.py
@@ -107,7 +107,7 @@
         changed.
         """
 
-    def home_of(self, upstream_id: str) -> str | None:
+    def owner_of(self, upstream_id: str) -> str | None:
         """Return the process id of the gateway that hears the upstream's renewals."""
 
     def prefix_holders(self, prefix: str) -> frozenset[str]:
--- a/bilberrydrum/upstreams/__init__.py
+++ b/bilberrydrum/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Upstreams: leases, load, dissemination among gateways, orders."""
+"""Upstreams: their leases and load, and the replication of both among gateways."""
--- a/bilberrydrum/upstreams/events.py
+++ b/bilberrydrum/upstreams/events.py
@@ -1,4 +1,4 @@
-"""What the directory is told, and what it asks to have done."""
+"""Events that the directory handles, and effects that it returns."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class Tick:
-    """Time has passed; the other gateways are these."""
+    """Time has passed; `zones_by_id` holds the registered gateways."""
 
     # Availability zones by process id, this gateway included.
     zones_by_id: dict[str, str]
@@ -18,17 +18,17 @@
 
 @attrs.frozen
 class Announced:
-    """An upstream announced itself here."""
+    """An upstream announced itself at this gateway."""
 
     upstream: model.Upstream
-    # The upstream's own number for its start; None: it gave none.
+    # The upstream's own incarnation number; None if it sent none.
     incarnation: int | None
     wall_milliseconds: int
 
 
 @attrs.frozen
 class Renewed:
-    """An upstream renewed its lease here; None stands for what it left out."""
+    """An upstream renewed its lease at this gateway; fields not sent are None."""
 
     upstream_id: str
     load: model.Load | None = None
@@ -38,14 +38,14 @@
 
 @attrs.frozen
 class Leaving:
-    """An upstream says here that it is leaving."""
+    """An upstream announced at this gateway that it is leaving."""
 
     upstream_id: str
 
 
 @attrs.frozen
-class DrainAsked:
-    """An operator wants an upstream to get no new work, or to get some again."""
+class DrainRequested:
+    """An operator asked to give an upstream no new work, or to give it work again."""
 
     upstream_id: str
     is_drained: bool
@@ -53,15 +53,15 @@
 
 
 @attrs.frozen
-class Heard:
-    """A message of another gateway."""
+class Received:
+    """A message of another gateway was received."""
 
     sender: str
     incarnation: int
     message: Any
 
 
-Event = Tick | Announced | Renewed | Leaving | DrainAsked | Heard
+Event = Tick | Announced | Renewed | Leaving | DrainRequested | Received
 
 
 @attrs.frozen
@@ -81,17 +81,17 @@
 
 @attrs.frozen
 class Reply:
-    """Answer the upstream or operator; None: done."""
+    """Answer the upstream or operator; without a refusal, the request succeeded."""
 
     refusal: reasons.Reason | None = None
 
 
 @attrs.frozen
-class LeaveKnown:
-    """Enough other gateways know that the upstream is leaving."""
+class LeaveConfirmed:
+    """Enough other gateways acknowledged that the upstream is leaving."""
 
     upstream_id: str
-    life: int
+    incarnation: int
 
 
 @attrs.frozen
@@ -102,12 +102,12 @@
 
 
 @attrs.frozen
-class Note:
-    """Log a change of state."""
+class LogChange:
+    """Log a change of an upstream's state."""
 
     kind: str
     upstream_id: str
     gateway: str = ""
 
 
-Effect = Send | SendAll | Reply | LeaveKnown | Drop | Note
+Effect = Send | SendAll | Reply | LeaveConfirmed | Drop | LogChange
--- a/bilberrydrum/upstreams/forwards.py
+++ b/bilberrydrum/upstreams/forwards.py
@@ -1,4 +1,4 @@
-"""Renewals passed on to the upstream's home, until the home has answered."""
+"""Renewals forwarded to the upstream's owner, until the owner has answered."""
 
 from collections.abc import Container
 from typing import Final
@@ -7,18 +7,18 @@
 
 from bilberrydrum.upstreams import events
 
-# Share of the renewals' interval within which a home answers.
-ANSWER_SHARE: Final = 0.8
+# Share of the renewal interval within which an owner must answer.
+TIMEOUT_SHARE: Final = 0.8
 
 
-# A home that an upstream has only just moved to keeps it at least this long. On a busy
-# host each move makes work for all gateways, which makes the next home answer late.
-HOLD_SECONDS: Final = 5.0
+# Minimum time that an owner keeps an upstream which has just moved to it. On a busy
+# host each move makes work for all gateways, which makes the next owner answer late.
+MIN_OWNERSHIP_SECONDS: Final = 5.0
 
 
 @attrs.frozen
-class _Home:
-    """The home that was last met as silent, and since when it is the home."""
+class _Owner:
+    """The owner that last left a renewal unanswered, and since when it is the owner."""
 
     process_id: str
     since: float
@@ -26,37 +26,37 @@
 
 @attrs.define
 class Forwarding:
-    """Renewals of one upstream that were passed on and not answered."""
+    """Renewals of one upstream that were forwarded and not answered."""
 
-    home: str
-    # When the first was passed on.
+    owner: str
+    # When the first of them was forwarded.
     asked_at: float
-    # The last one, and when it was heard.
+    # The last of them, and when it was received.
     renewal: events.Renewed
-    heard_at: float
+    received_at: float
 
 
 class Forwards:
-    """The renewals that are under way."""
+    """Forwarded renewals that are not answered yet."""
 
     def __init__(self, renew_seconds: float) -> None:
-        self._timeout = ANSWER_SHARE * renew_seconds
+        self._timeout = TIMEOUT_SHARE * renew_seconds
         self._forwards_by_id: dict[str, Forwarding] = {}
-        self._homes_by_id: dict[str, _Home] = {}
+        self._owners_by_id: dict[str, _Owner] = {}
 
-    def add(self, renewal: events.Renewed, home: str, now: float) -> None:
-        """Note a renewal; it waits as long as the first to the same home."""
+    def add(self, renewal: events.Renewed, owner: str, now: float) -> None:
+        """Record a renewal; its timeout counts from the first one to the same owner."""
         known = self._forwards_by_id.get(renewal.upstream_id)
-        asked_at = now if known is None or known.home != home else known.asked_at
-        forwarding = Forwarding(home, asked_at, renewal, now)
+        asked_at = now if known is None or known.owner != owner else known.asked_at
+        forwarding = Forwarding(owner, asked_at, renewal, now)
         self._forwards_by_id[renewal.upstream_id] = forwarding
 
-    def end(self, upstream_id: str) -> Forwarding | None:
-        """Forget what is under way for an upstream, and return it."""
+    def remove(self, upstream_id: str) -> Forwarding | None:
+        """Remove the unanswered renewals of an upstream and return them."""
         return self._forwards_by_id.pop(upstream_id, None)
 
     def overdue(self, now: float) -> list[Forwarding]:
-        """Return the renewals whose home did not answer in time."""
+        """Return the renewals whose owner did not answer in time."""
         return [
             forwarding
             for forwarding in self._forwards_by_id.values()
@@ -64,17 +64,17 @@
         ]
 
     def may_move(self, forwarding: Forwarding, now: float) -> bool:
-        """Tell whether the upstream may be moved from its home."""
+        """Return whether the upstream may be taken over from its owner."""
         upstream_id = forwarding.renewal.upstream_id
-        known = self._homes_by_id.get(upstream_id)
-        if known is not None and known.process_id == forwarding.home:
-            return now - known.since >= HOLD_SECONDS
+        known = self._owners_by_id.get(upstream_id)
+        if known is not None and known.process_id == forwarding.owner:
+            return now - known.since >= MIN_OWNERSHIP_SECONDS
         since = float("-inf") if known is None else now
-        self._homes_by_id[upstream_id] = _Home(forwarding.home, since)
+        self._owners_by_id[upstream_id] = _Owner(forwarding.owner, since)
         return known is None
 
     def keep_only(self, upstream_ids: Container[str]) -> None:
-        """Forget the homes of all other upstreams."""
-        for upstream_id in list(self._homes_by_id):
+        """Drop the owners recorded for all other upstreams."""
+        for upstream_id in list(self._owners_by_id):
             if upstream_id not in upstream_ids:
-                del self._homes_by_id[upstream_id]
+                del self._owners_by_id[upstream_id]
--- a/bilberrydrum/upstreams/messages.py
+++ b/bilberrydrum/upstreams/messages.py
@@ -1,7 +1,8 @@
 """Messages between gateways about upstreams.
 
 Ages and clocks are in milliseconds. `sent_at` is the sender's monotonic clock: the
-receiver works out from it how long a message was under way.
+receiver computes from it how long a message was under way. `home` is the process id of
+an owner, the gateway that manages the leases of its upstreams.
 """
 
 import attrs
@@ -13,20 +14,20 @@
 @codec.register("upstreams.item")
 @attrs.frozen
 class Item:
-    """One change at a home: a new record, or an upstream it no longer answers for."""
+    """One change at an owner: a new record, or an upstream that it no longer owns."""
 
     change: int
     upstream_id: str
-    # None: another gateway is the home now.
+    # None: another gateway is the owner now.
     record: records.Record | None = None
-    # Time since the home last heard a renewal.
+    # Time since the owner last received a renewal.
     age: int = 0
 
 
 @codec.register("upstreams.load")
 @attrs.frozen
 class LoadItem:
-    """One change at a home that is only a change of load."""
+    """One change at an owner that only changes the load."""
 
     change: int
     upstream_id: str
@@ -37,9 +38,9 @@
 @codec.register("upstreams.changes")
 @attrs.frozen
 class Changes:
-    """What changed at a home after its change number `previous`."""
+    """What changed at an owner after its change number `previous`."""
 
-    # 0: not known; the changes tell nothing of renewals.
+    # 0: not known; the ages in the changes are then not used.
     sent_at: int
     previous: int
     change: int
@@ -54,14 +55,14 @@
 
     upstream_id: str
     age: int
-    # Its home, when that is not the sender.
+    # Its owner, if that is not the sender.
     home: str = ""
 
 
 @codec.register("upstreams.late-home")
 @attrs.frozen
-class LateHome:
-    """A home that was not heard as lately as the others."""
+class LateOwner:
+    """An owner whose renewals are confirmed less recently than those of the others."""
 
     home: str
     age: int
@@ -69,8 +70,8 @@
 
 @codec.register("upstreams.standing")
 @attrs.frozen
-class Standing:
-    """All upstreams of a home still stand, as of its change number `change`."""
+class Heartbeat:
+    """Confirms the leases of all upstreams of an owner as of its change `change`."""
 
     sent_at: int
     change: int
@@ -83,10 +84,10 @@
 @codec.register("upstreams.fetch")
 @attrs.frozen
 class Fetch:
-    """Ask a home for its changes after `since`; 0: for everything."""
+    """Request an owner's changes after `since`; 0 requests everything."""
 
     since: int
-    # The asker's clock.
+    # The requester's clock.
     asked_at: int
 
 
@@ -96,16 +97,16 @@
     """Answer to `Fetch`."""
 
     asked_at: int
-    # All that the home answers for is in `changes`; what is not there is released.
+    # Whether `changes` holds all upstreams of the owner. Any other is released then.
     is_full: bool
     changes: Changes
-    standing: Standing
+    standing: Heartbeat
 
 
 @codec.register("upstreams.forward")
 @attrs.frozen
 class Forward:
-    """A renewal that came to a gateway other than the upstream's home."""
+    """A renewal that reached a gateway other than the upstream's owner."""
 
     upstream_id: str
     life: int
@@ -118,7 +119,7 @@
 @codec.register("upstreams.forwarded")
 @attrs.frozen
 class Forwarded:
-    """Answer to `Forward`: whether this gateway is the home and took the renewal."""
+    """Answer to `Forward`: whether this gateway is the owner and took the renewal."""
 
     upstream_id: str
     is_home: bool
@@ -126,18 +127,18 @@
 
 @codec.register("upstreams.news")
 @attrs.frozen
-class News:
-    """A record sent outside of a home's changes: a leave, or a correction."""
+class RecordUpdate:
+    """A record sent outside of an owner's changes: a leave, or a correction."""
 
     record: records.Record
-    # The receiver must pass the records on to all gateways and answer `NewsHeard`.
+    # The receiver must send the record to all gateways and answer `RecordUpdateAck`.
     is_witness: bool = False
 
 
 @codec.register("upstreams.news-heard")
 @attrs.frozen
-class NewsHeard:
-    """Answer of a witness."""
+class RecordUpdateAck:
+    """Acknowledgement of a `RecordUpdate` with `is_witness`."""
 
     upstream_id: str
     life: int
@@ -146,7 +147,7 @@
 @codec.register("upstreams.prefixes")
 @attrs.frozen
 class Prefixes:
-    """Cache events, passed on. Hints: they may be lost."""
+    """Forwarded cache events. They are hints and may be lost."""
 
     upstream_id: str
     sequence: int
@@ -157,8 +158,8 @@
 
 @codec.register("upstreams.home-changes")
 @attrs.frozen
-class HomeChanges:
-    """Changes of a home, relayed."""
+class OwnerChanges:
+    """Changes of an owner, relayed."""
 
     home: str
     incarnation: int
@@ -168,15 +169,15 @@
 @codec.register("upstreams.loads")
 @attrs.frozen
 class Loads:
-    """Changes of load of many homes, in columns, one value per change.
+    """Changes of load of many owners, in columns with one value per change.
 
-    Loads are most of what is relayed. In columns one takes some 30 bytes, as a value of
-    its own some 250.
+    Loads are most of what is relayed. A change takes about 30 bytes in columns, and
+    about 250 as a separate value.
     """
 
     homes: tuple[str, ...] = ()
     changes: tuple[int, ...] = ()
-    # Change numbers of the home since its change before.
+    # Difference of the change number to that of the owner's previous change.
     spans: tuple[int, ...] = ()
     upstream_ids: tuple[str, ...] = ()
     n_running: tuple[int, ...] = ()
@@ -189,21 +190,21 @@
 @codec.register("upstreams.relayed")
 @attrs.frozen
 class Relayed:
-    """What a seat knows of the homes of its group, or of all homes."""
+    """What a relay node knows of the owners in its group, or of all owners."""
 
     sent_at: int
     # Rises by one with each message to the same receivers.
     sequence: int
-    # Digest of the gateways that the sender goes by.
+    # Digest of the set of gateways that the sender knows.
     topology: int
-    # All homes, or only those of the sender's group.
+    # Whether it covers all owners, or only those in the sender's group.
     is_all: bool
-    # Each home's upstreams, but the late ones', renewed at most this long ago.
+    # The upstreams of all owners, but the late ones, renewed at most this long ago.
     age: int
-    late_homes: tuple[LateHome, ...] = ()
+    late_homes: tuple[LateOwner, ...] = ()
     late: tuple[Late, ...] = ()
-    # Changes that came in since the last message, and records that no home may log.
-    news: tuple[HomeChanges, ...] = ()
+    # Changes since the last message, and records that may be in no owner's log.
+    news: tuple[OwnerChanges, ...] = ()
     loads: Loads = attrs.field(factory=Loads)
     unlogged: tuple[records.Record, ...] = ()
 
@@ -211,7 +212,7 @@
 @codec.register("upstreams.fetch-vector")
 @attrs.frozen
 class FetchVector:
-    """Ask a seat how far it knows each home's changes."""
+    """Ask a relay node up to which change it knows each owner."""
 
     is_all: bool
     asked_at: int
@@ -220,12 +221,12 @@
 @codec.register("upstreams.vector")
 @attrs.frozen
 class Vector:
-    """Answer to `FetchVector`: columns, one value per home."""
+    """Answer to `FetchVector`, in columns with one value per owner."""
 
     asked_at: int
     sent_at: int
     is_all: bool
-    # The last message sent before.
+    # Sequence number of the last `Relayed` message sent before.
     sequence: int
     homes: tuple[str, ...]
     changes: tuple[int, ...]
--- a/bilberrydrum/upstreams/model.py
+++ b/bilberrydrum/upstreams/model.py
@@ -1,4 +1,4 @@
-"""What is known of an upstream: an engine or an application."""
+"""The data of an upstream: an engine or an application."""
 
 from typing import Final
 
@@ -14,7 +14,7 @@
 class ServedModel:
     """One model on one engine, as the engine reports it."""
 
-    # Version that the engine generates with now.
+    # Version that the engine currently generates with.
     weight_version: int
     # Versions in the engine's memory.
     loaded_versions: tuple[int, ...] = ()
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class Load:
-    """An upstream's own report of its load; it lags."""
+    """The load that an upstream reports of itself; it lags behind the actual load."""
 
     n_running: int = 0
     n_waiting: int = 0
@@ -42,18 +42,19 @@
     # ``IP:port`` where it serves HTTP.
     address: str
     availability_zone: str = ""
-    # Requests it can work on at a time.
+    # Number of requests that it can work on concurrently.
     max_concurrency: int = 16
     # Engines: models by name.
     models: dict[str, ServedModel] = attrs.field(factory=dict)
     # Engines: "generate", or another role it was ordered into.
     role: str = ROLE_GENERATE
-    # Engines: refuses orders that carry an old fencing number.
+    # Engines: whether it refuses orders that carry an old fencing number.
     checks_fencing: bool = False
-    # Engines: can go on from given tokens.
+    # Engines: whether it can resume generation from given tokens.
     can_resume: bool = False
     # Applications: the application's name.
     application: str = ""
     load: Load = attrs.field(factory=Load)
-    # Number that rises with each change the upstream reports, kept by its home gateway.
+    # Number of the last change that the upstream reported, assigned by its owner. It
+    # rises with each change.
     change: int = 0
--- a/bilberrydrum/upstreams/outgoing.py
+++ b/bilberrydrum/upstreams/outgoing.py
@@ -1,6 +1,6 @@
-"""What waits at a seat to be relayed to one set of receivers, and the seat's word.
+"""What a relay node is still to send to one set of receivers.
 
-Changes of a home that wait are joined into one. Homes of which only loads changed are
+Pending changes of an owner are merged into one. Owners of which only loads changed are
 packed into columns.
 """
 
@@ -10,9 +10,9 @@
 
 from bilberrydrum.upstreams import messages, records, relayed_loads, table
 
-# Homes whose renewals are older than this are told apart.
-LATE_HOME_SECONDS: Final = 2.0
-# Largest age that is sent; beyond it a home's word has long run out.
+# Owners whose renewals are older than this are listed one by one.
+LATE_OWNER_SECONDS: Final = 2.0
+# Largest age that is sent; a lease renewed that long ago has long expired.
 MAX_AGE_SECONDS: Final = 60.0
 
 
@@ -23,77 +23,79 @@
         self._table = known
         self._is_all = is_all
         self._sequence = 0
-        # What waits, joined for each home.
-        self._news_by_home: dict[str, messages.HomeChanges] = {}
-        self._records: list[records.Record] = []
+        # Pending changes, merged for each owner.
+        self._waiting_by_owner: dict[str, messages.OwnerChanges] = {}
+        self._unlogged: list[records.Record] = []
 
     @property
-    def has_news(self) -> bool:
-        """Tell whether more than loads waits to be relayed."""
-        return bool(self._records) or any(
-            _is_urgent(news.changes) for news in self._news_by_home.values()
+    def has_urgent(self) -> bool:
+        """Return whether more than loads is to be relayed."""
+        return bool(self._unlogged) or any(
+            _is_urgent(update.changes) for update in self._waiting_by_owner.values()
         )
 
-    def add(self, news: messages.HomeChanges) -> None:
-        """Relay a home's changes with the next message."""
-        waiting = self._news_by_home.get(news.home)
-        if waiting is not None and waiting.incarnation == news.incarnation:
-            changes = _joined(waiting.changes, news.changes)
-            news = attrs.evolve(news, changes=changes)
-        self._news_by_home[news.home] = news
+    def add(self, update: messages.OwnerChanges) -> None:
+        """Relay an owner's changes with the next message."""
+        waiting = self._waiting_by_owner.get(update.home)
+        if waiting is not None and waiting.incarnation == update.incarnation:
+            changes = _merged(waiting.changes, update.changes)
+            update = attrs.evolve(update, changes=changes)
+        self._waiting_by_owner[update.home] = update
 
     def add_record(self, record: records.Record) -> None:
-        """Relay a record that no home has logged."""
-        self._records.append(record)
+        """Relay a record that may be in no owner's log."""
+        self._unlogged.append(record)
 
     def clear(self) -> None:
-        """Forget what waits: this gateway holds no seat."""
-        self._news_by_home.clear()
-        self._records.clear()
+        """Drop what is pending; also used when this gateway is no relay node."""
+        self._waiting_by_owner.clear()
+        self._unlogged.clear()
 
-    def relayed(
-        self, homes: set[str], topology_digest: int, now: float
+    def next_message(
+        self, owners: set[str], topology_digest: int, now: float
     ) -> messages.Relayed:
-        """Return the next message."""
+        """Return the next message and drop what was pending."""
         self._sequence += 1
-        ages_by_home = {home: now - self._vouched_at(home, now) for home in homes}
-        in_time = [age for age in ages_by_home.values() if age <= LATE_HOME_SECONDS]
+        ages_by_owner = {
+            owner: now - self._confirmed_at(owner, now) for owner in owners
+        }
+        in_time = [age for age in ages_by_owner.values() if age <= LATE_OWNER_SECONDS]
         late_homes = tuple(
-            messages.LateHome(home, int(1000 * min(age, MAX_AGE_SECONDS)))
-            for home, age in ages_by_home.items()
-            if age > LATE_HOME_SECONDS
+            messages.LateOwner(owner, int(1000 * min(age, MAX_AGE_SECONDS)))
+            for owner, age in ages_by_owner.items()
+            if age > LATE_OWNER_SECONDS
         )
-        loads_by_home = {
-            home: news.changes
-            for home, news in self._news_by_home.items()
-            if not _is_urgent(news.changes)
+        loads_by_owner = {
+            owner: update.changes
+            for owner, update in self._waiting_by_owner.items()
+            if not _is_urgent(update.changes)
         }
         message = messages.Relayed(
             int(now * 1000),
             self._sequence,
             topology_digest,
             self._is_all,
-            # Rounded up, so that the receiver believes no more than is known.
+            # Rounded up, so that renewals do not count as newer than they are.
             int(1000 * max(in_time, default=0.0)) + 1,
             late_homes,
-            self._late(homes, now),
+            self._late(owners, now),
             tuple(
-                news
-                for home, news in self._news_by_home.items()
-                if home not in loads_by_home
+                update
+                for owner, update in self._waiting_by_owner.items()
+                if owner not in loads_by_owner
             ),
-            relayed_loads.pack(loads_by_home),
-            tuple(self._records),
+            relayed_loads.pack(loads_by_owner),
+            tuple(self._unlogged),
         )
         self.clear()
         return message
 
     def vector(
-        self, homes: set[str], fetch: messages.FetchVector, now: float
+        self, owners: set[str], fetch: messages.FetchVector, now: float
     ) -> messages.Vector:
-        """Return how far this seat knows the homes."""
-        views_by_home = self._table.views_by_home
-        known = sorted(home for home in homes if home in views_by_home)
+        """Return how far this relay node knows the owners."""
+        views_by_owner = self._table.views_by_owner
+        known = sorted(owner for owner in owners if owner in views_by_owner)
         own = self._table.process_id
         return messages.Vector(
             fetch.asked_at,
@@ -102,41 +104,41 @@
             self._sequence,
             (*known, own),
             (
-                *(views_by_home[home].change for home in known),
+                *(views_by_owner[owner].change for owner in known),
                 self._table.own.change,
             ),
         )
 
-    def _vouched_at(self, home: str, now: float) -> float:
-        if home == self._table.process_id:
-            return now - self._table.own.standing(now).age / 1000
-        view = self._table.views_by_home.get(home)
-        return table.NEVER if view is None else view.vouched_at
+    def _confirmed_at(self, owner: str, now: float) -> float:
+        if owner == self._table.process_id:
+            return now - self._table.own.heartbeat(now).age / 1000
+        view = self._table.views_by_owner.get(owner)
+        return table.NEVER if view is None else view.confirmed_at
 
-    def _late(self, homes: set[str], now: float) -> tuple[messages.Late, ...]:
+    def _late(self, owners: set[str], now: float) -> tuple[messages.Late, ...]:
         late = [
             attrs.evolve(entry, home=self._table.process_id)
-            for entry in self._table.own.standing(now).late
+            for entry in self._table.own.heartbeat(now).late
         ]
-        for home in homes:
-            view = self._table.views_by_home.get(home)
+        for owner in owners:
+            view = self._table.views_by_owner.get(owner)
             late_by_id = {} if view is None else view.late_by_id()
             late.extend(
-                messages.Late(upstream_id, int((now - at) * 1000) + 1, home)
+                messages.Late(upstream_id, int((now - at) * 1000) + 1, owner)
                 for upstream_id, at in late_by_id.items()
             )
         return tuple(late)
 
 
 def _is_urgent(changes: messages.Changes) -> bool:
-    # Without loads, too, it may be the mark that the receivers must ask the home.
+    # Changes without items and loads mark that the receivers must fetch from the owner.
     return bool(changes.items) or not changes.loads
 
 
-def _joined(first: messages.Changes, second: messages.Changes) -> messages.Changes:
-    """Return two changes of a home, one after the other, as one."""
+def _merged(first: messages.Changes, second: messages.Changes) -> messages.Changes:
+    """Merge two consecutive changes of an owner into one."""
     if second.previous > first.change or not (second.items or second.loads):
-        # Between them something is missing here, and the receiver must ask as well.
+        # Changes in between are missing here, so that the receiver must fetch as well.
         return messages.Changes(second.sent_at, second.change, second.change)
     items_by_id = {item.upstream_id: item for item in (*first.items, *second.items)}
     loads_by_id = {load.upstream_id: load for load in first.loads}
--- a/bilberrydrum/upstreams/ownership.py
+++ b/bilberrydrum/upstreams/ownership.py
@@ -1,7 +1,7 @@
-"""The upstreams that this gateway is the home of: their leases and its log of changes.
+"""The upstreams that this gateway owns: their leases and the log of their changes.
 
 Each change gets the next number. The latest change of each upstream is kept, so that a
-gateway which missed some asks for those after the last number it has.
+gateway which missed some can fetch those after the last number it has.
 """
 
 from typing import Final
@@ -11,48 +11,48 @@
 from bilberrydrum.upstreams import messages, model, records
 
 # How long the end of an upstream is kept in the log. A gateway that was away for longer
-# gets everything anew.
+# gets all records.
 KEEP_ENDED_SECONDS: Final = 600.0
-# Change numbers of a later life of this process are above all earlier ones.
+# Change numbers of a later incarnation of this process are above all earlier ones.
 _INCARNATION_SHIFT: Final = 32
 
 
 def milliseconds(seconds: float) -> int:
-    """Return a time as it is sent."""
+    """Convert a time in seconds to the milliseconds used in messages."""
     return int(seconds * 1000)
 
 
 class Ownership:
-    """Records, leases and log of one home."""
+    """Records, leases and change log of one owner."""
 
     def __init__(self, incarnation: int, lease_seconds: float, late: float) -> None:
         self._lease_seconds = lease_seconds
-        # Age from which an upstream is told apart from the others.
+        # Age of the last renewal from which an upstream is listed as late.
         self._late_seconds = late
         self.records_by_id: dict[str, records.Record] = {}
         self._renewed_at_by_id: dict[str, float] = {}
         self.change = incarnation << _INCARNATION_SHIFT
-        # Changes up to this number are not in the log any more.
+        # Some changes up to this number are no longer in the log.
         self._forgotten_change = self.change
         self.digest = 0
         self._last_by_id: dict[str, messages.Item] = {}
         self._ended_at_by_id: dict[str, float] = {}
 
     def expires_at(self, upstream_id: str) -> float:
-        """Return when the lease ends."""
+        """Return when the lease expires."""
         return self._renewed_at_by_id[upstream_id] + self._lease_seconds
 
     def renewed_at(self, upstream_id: str) -> float:
-        """Return when the last renewal was heard."""
+        """Return when the last renewal was received."""
         return self._renewed_at_by_id[upstream_id]
 
     def renew(self, upstream_id: str, now: float) -> None:
-        """Note a renewal heard at `now`."""
+        """Record a renewal received at `now`."""
         known = self._renewed_at_by_id[upstream_id]
         self._renewed_at_by_id[upstream_id] = max(known, now)
 
     def put(self, record: records.Record, renewed_at: float) -> messages.Item:
-        """Answer for `record` from now on, with the next change number."""
+        """Store `record` as owned by this gateway, with the next change number."""
         self.change += 1
         upstream_id = record.upstream_id
         record = attrs.evolve(
@@ -66,7 +66,7 @@
         return self._log(messages.Item(self.change, upstream_id, record))
 
     def put_load(self, upstream_id: str, load: model.Load) -> messages.LoadItem:
-        """Change an upstream's load, and nothing else."""
+        """Change only the load of an upstream."""
         record = self.records_by_id[upstream_id]
         upstream = attrs.evolve(record.upstream, load=load)
         self.put(
@@ -75,7 +75,7 @@
         return messages.LoadItem(self.change, upstream_id, load)
 
     def end(self, record: records.Record, now: float) -> messages.Item:
-        """Log `record` as lapsed or left; it stands no more."""
+        """Log `record` as expired or left, and end its lease."""
         self.change += 1
         upstream_id = record.upstream_id
         record = attrs.evolve(
@@ -86,7 +86,7 @@
         return self._log(messages.Item(self.change, upstream_id, record))
 
     def release(self, upstream_id: str, now: float) -> messages.Item:
-        """Log that another gateway is the home now."""
+        """Log that another gateway is the owner now."""
         self.change += 1
         self._remove(upstream_id)
         self._ended_at_by_id[upstream_id] = now
@@ -97,7 +97,7 @@
         return self._last_by_id[upstream_id]
 
     def expired_ids(self, now: float) -> list[str]:
-        """Return the upstreams whose lease has run out."""
+        """Return the upstreams whose lease has expired."""
         return [
             upstream_id
             for upstream_id in self.records_by_id
@@ -105,7 +105,7 @@
         ]
 
     def forget(self, now: float) -> None:
-        """Drop ends from the log that are old, to keep it bounded."""
+        """Drop old ends of upstreams from the log, to keep it bounded."""
         for upstream_id, ended_at in list(self._ended_at_by_id.items()):
             if now - ended_at >= KEEP_ENDED_SECONDS:
                 del self._ended_at_by_id[upstream_id]
@@ -117,8 +117,8 @@
         renewed_at = self._renewed_at_by_id.get(upstream_id)
         return 0 if renewed_at is None else milliseconds(now - renewed_at)
 
-    def standing(self, now: float) -> messages.Standing:
-        """Return the message that all of this home's upstreams still stand."""
+    def heartbeat(self, now: float) -> messages.Heartbeat:
+        """Return the message that confirms the leases of all own upstreams."""
         ages = {
             upstream_id: now - renewed_at
             for upstream_id, renewed_at in self._renewed_at_by_id.items()
@@ -129,7 +129,7 @@
             for upstream_id, age in ages.items()
             if age >= self._late_seconds
         )
-        return messages.Standing(
+        return messages.Heartbeat(
             milliseconds(now),
             self.change,
             self.digest,
@@ -138,7 +138,7 @@
         )
 
     def fetched(self, fetch: messages.Fetch, now: float) -> messages.Fetched:
-        """Return what the asker misses, or everything if the log doesn't reach back."""
+        """Return what the requester misses, or everything if the log is too short."""
         is_full = fetch.since == 0 or not (
             self._forgotten_change <= fetch.since <= self.change
         )
@@ -156,7 +156,7 @@
                 for item in items
             ),
         )
-        return messages.Fetched(fetch.asked_at, is_full, changes, self.standing(now))
+        return messages.Fetched(fetch.asked_at, is_full, changes, self.heartbeat(now))
 
     def _remove(self, upstream_id: str) -> None:
         record = self.records_by_id.pop(upstream_id, None)
--- a/bilberrydrum/upstreams/prefixes.py
+++ b/bilberrydrum/upstreams/prefixes.py
@@ -1,8 +1,8 @@
 """Which engines are likely to hold a prompt's prefix: hints from cache events.
 
-Cache events come late and with gaps, so a hint may be wrong either way. It only tips
-the choice between engines, and what is kept per engine is bounded: the hints used or
-stored longest ago go first.
+Cache events come late and with gaps, so a hint may be wrong either way. It only
+influences the choice between engines. The number of hints per engine is bounded: those
+stored longest ago are dropped first.
 """
 
 import collections
@@ -15,12 +15,12 @@
 
 # Prefixes kept per engine.
 MAX_PREFIXES: Final = 4096
-# A hint that was not stored anew for this long is not given any more.
+# A hint that was not stored again for this long expires.
 KEEP_SECONDS: Final = 600.0
 
 
-# Hints passed on to the other gateways, per engine and message.
-MAX_PASSED_ON: Final = 256
+# Maximum number of hints forwarded to the other gateways, per engine and message.
+MAX_FORWARDED: Final = 256
 
 
 @attrs.define
@@ -41,11 +41,11 @@
         self._ids_by_prefix: dict[str, set[str]] = {}
 
     def apply(self, event: messages.Prefixes, now: float) -> bool:
-        """Take cache events; False if they are repeated or overtaken.
+        """Apply cache events; return False if they are repeated or out of order.
 
-        A sequence that starts again at 0 or 1 is an engine that started again, with
-        an empty cache. Events missed in a gap are not made up for: a hint for a
-        removed prefix goes in time.
+        A sequence that starts again at 0 or 1 means that the engine has restarted with
+        an empty cache. Events missed in a gap are not requested again: a hint for a
+        removed prefix expires.
         """
         engine = self._engines_by_id.setdefault(event.upstream_id, _Engine())
         if event.sequence <= engine.sequence and event.sequence > 1:
@@ -99,7 +99,7 @@
 
 @attrs.define
 class _Waiting:
-    """Cache events of one engine that wait to be passed on."""
+    """Cache events of one engine that are not forwarded yet."""
 
     sequence: int = 0
     is_cleared: bool = False
@@ -107,13 +107,13 @@
 
 
 class Outgoing:
-    """Cache events to be passed on, joined so that their number is bounded."""
+    """Cache events to be forwarded, merged so that their number is bounded."""
 
     def __init__(self) -> None:
         self._waiting_by_id: dict[str, _Waiting] = {}
 
     def add(self, event: messages.Prefixes) -> None:
-        """Pass `event` on with the next messages."""
+        """Forward `event` with the next messages."""
         waiting = self._waiting_by_id.setdefault(event.upstream_id, _Waiting())
         if event.is_cleared or event.sequence <= waiting.sequence:
             waiting.is_cleared = True
@@ -125,10 +125,10 @@
             waiting.is_stored_by_prefix[prefix] = True
 
     def take(self) -> list[messages.Prefixes]:
-        """Return one message for each engine; what is beyond the bound is lost."""
+        """Return one message for each engine; hints beyond the bound are lost."""
         taken = []
         for upstream_id, waiting in self._waiting_by_id.items():
-            latest = list(waiting.is_stored_by_prefix.items())[-MAX_PASSED_ON:]
+            latest = list(waiting.is_stored_by_prefix.items())[-MAX_FORWARDED:]
             taken.append(
                 messages.Prefixes(
                     upstream_id,
--- a/bilberrydrum/upstreams/registry.py
+++ b/bilberrydrum/upstreams/registry.py
@@ -1,8 +1,9 @@
-"""The upstreams this gateway may use: the task around the directory's decisions.
+"""The upstreams this gateway may use: the task that runs the directory.
 
-One task owns the directory. HTTP handlers and the transport put events on its queue;
-it steps the directory and sends what comes out. `upstreams_by_id` reads the directory
-directly, with the clock, so that it never lists what ran out while the task waited.
+One task runs the directory. HTTP handlers and the transport put events on its queue; it
+steps the directory and carries out the effects. `upstreams_by_id` reads the directory
+directly, with the clock, so that it never lists an upstream whose lease expired while
+the task waited.
 """
 
 from collections.abc import Mapping
@@ -28,20 +29,20 @@
 )
 
 TICK_SECONDS: Final = 0.1
-# How long a leave waits until enough other gateways know of it.
+# How long a leave request waits until enough other gateways have acknowledged it.
 LEAVE_TIMEOUT_SECONDS: Final = 1.5
 # Longest time that a request waits for the task.
-ASK_TIMEOUT_SECONDS: Final = 2.0
+REQUEST_TIMEOUT_SECONDS: Final = 2.0
 _SYNC_POLL_SECONDS: Final = 0.05
 _MESSAGE_CLASSES: Final = (
     messages.Changes,
-    messages.Standing,
+    messages.Heartbeat,
     messages.Fetch,
     messages.Fetched,
     messages.Forward,
     messages.Forwarded,
-    messages.News,
-    messages.NewsHeard,
+    messages.RecordUpdate,
+    messages.RecordUpdateAck,
     messages.Relayed,
     messages.FetchVector,
     messages.Vector,
@@ -49,7 +50,7 @@
 
 
 @attrs.frozen
-class _Asked:
+class _Request:
     """An event whose sender waits for the reply."""
 
     event: events.Event
@@ -58,18 +59,18 @@
 
 @attrs.frozen
 class Status:
-    """One upstream as this gateway sees it, for operators."""
+    """The status of one upstream at this gateway, for operators."""
 
     upstream: model.Upstream
     home: str
     state: str
     is_drained: bool
-    # Until the lease ends; 0: it has.
+    # Time until the lease expires; 0 if it has expired.
     lease_seconds: float
 
 
 class UpstreamRegistry:
-    """The task that keeps the upstreams of one gateway."""
+    """The task that maintains the upstreams of one gateway."""
 
     def __init__(
         self,
@@ -88,19 +89,19 @@
         self._queue: eventlet.queue.LightQueue = eventlet.queue.LightQueue()
         self._task: Any = None
         self._gateways_by_id: Mapping[str, interfaces.Gateway] = {}
-        self._leave_known_by_id: dict[str, eventlet.event.Event] = {}
+        self._leave_confirmed_by_id: dict[str, eventlet.event.Event] = {}
 
     def start(self) -> None:
-        """Begin to hear the other gateways; the process has been registered."""
+        """Start to receive messages. The process must have been registered before."""
         self._directory = self._new_directory()
         self._is_started = True
         for message_class in _MESSAGE_CLASSES:
-            self._transport.on(message_class, self._hear)
-        self._transport.on(messages.Prefixes, self._hear_prefixes)
+            self._transport.on(message_class, self._receive)
+        self._transport.on(messages.Prefixes, self._receive_prefixes)
         self._task = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """End the task; requests that come now are sent elsewhere."""
+        """End the task; later requests are refused, and clients try another gateway."""
         self._is_started = False
         if self._task is not None:
             self._task.kill()
@@ -122,12 +123,12 @@
         """Return the upstreams that may be given new work now."""
         return self._directory.listing.usable_by_id(clock.now())
 
-    def home_of(self, upstream_id: str) -> str | None:
-        """Return the gateway that answers for the upstream's lease, if it stands."""
-        return self._directory.listing.home_of(upstream_id, clock.now())
+    def owner_of(self, upstream_id: str) -> str | None:
+        """Return the gateway that owns the upstream, if the lease is valid."""
+        return self._directory.listing.owner_of(upstream_id, clock.now())
 
     def prefix_holders(self, prefix: str) -> frozenset[str]:
-        """Return the engines likely to hold a prompt's prefix; a hint.
+        """Return the engines that are likely to hold a prompt's prefix; a hint.
 
         Parameters
         ----------
@@ -137,14 +138,14 @@
         return self._prefixes.holders(prefix, clock.now())
 
     def statuses_by_id(self) -> dict[str, Status]:
-        """Return all that is known of all upstreams, for operators."""
+        """Return the status of all known upstreams, for operators."""
         now = clock.now()
         statuses_by_id = {}
         for upstream_id, record in self._directory.listing.records_by_id().items():
             left = max(0.0, self._directory.listing.expires_at(record) - now)
             state = record.state
-            if state == records.STATE_STANDS and not left:
-                state = records.STATE_LAPSED
+            if state == records.STATE_ACTIVE and not left:
+                state = records.STATE_EXPIRED
             statuses_by_id[upstream_id] = Status(
                 record.upstream, record.home, state, record.is_drained, left
             )
@@ -155,9 +156,9 @@
     def announce(
         self, announcement: announcements.Announcement
     ) -> result.Result[None, reasons.Reason]:
-        """Take an upstream's announcement."""
+        """Handle an upstream's announcement."""
         self._wait_until_synced()
-        return self._ask(
+        return self._request(
             events.Announced(
                 announcement.upstream,
                 announcement.incarnation,
@@ -166,22 +167,22 @@
         )
 
     def renew(self, renewed: events.Renewed) -> result.Result[None, reasons.Reason]:
-        """Take an upstream's renewal."""
+        """Handle an upstream's renewal."""
         if renewed.upstream_id not in self._directory.listing.records_by_id():
             self._wait_until_synced()
-        return self._ask(renewed)
+        return self._request(renewed)
 
     def leave(self, upstream_id: str) -> result.Result[None, reasons.Reason]:
-        """Give an upstream no new work; return once other gateways know, too."""
+        """Give an upstream no new work; return once other gateways acknowledged it."""
         if upstream_id not in self._directory.listing.records_by_id():
             self._wait_until_synced()
-        known = self._leave_known_by_id.get(upstream_id)
+        known = self._leave_confirmed_by_id.get(upstream_id)
         if known is None:
             known = eventlet.event.Event()
-            self._leave_known_by_id[upstream_id] = known
-        reply = self._ask(events.Leaving(upstream_id))
+            self._leave_confirmed_by_id[upstream_id] = known
+        reply = self._request(events.Leaving(upstream_id))
         if reply.is_err():
-            self._leave_known_by_id.pop(upstream_id, None)
+            self._leave_confirmed_by_id.pop(upstream_id, None)
             return reply
         with eventlet.Timeout(LEAVE_TIMEOUT_SECONDS, False):
             known.wait()
@@ -191,13 +192,13 @@
     def drain(
         self, upstream_id: str, is_drained: bool
     ) -> result.Result[None, reasons.Reason]:
-        """Give an upstream no new work, or some again, as an operator wishes."""
-        return self._ask(
-            events.DrainAsked(upstream_id, is_drained, records.wall_milliseconds())
+        """Give an upstream no new work, or give it work again, for an operator."""
+        return self._request(
+            events.DrainRequested(upstream_id, is_drained, records.wall_milliseconds())
         )
 
-    def take_cache_events(self, prefixes: messages.Prefixes) -> None:
-        """Take an engine's cache events and pass them on."""
+    def handle_cache_events(self, prefixes: messages.Prefixes) -> None:
+        """Apply an engine's cache events and forward them."""
         if self._prefixes.apply(prefixes, clock.now()):
             self._outgoing_prefixes.add(prefixes)
 
@@ -230,7 +231,7 @@
                 self._send_all(event)
 
     def _handle(self, item: Any) -> None:
-        if not isinstance(item, _Asked):
+        if not isinstance(item, _Request):
             self._step(item)
             return
         refusal: reasons.Reason | None = reasons.Reason.INTERNAL_ERROR
@@ -243,29 +244,29 @@
         try:
             effects = self._directory.step(clock.now(), event)
         except Exception:
-            # A message that another release made badly must not end the task: this
-            # gateway would list nothing any more.
+            # A malformed message from another release must not end the task: this
+            # gateway would no longer list any upstream.
             eliot.write_traceback()
             counters.dropped(reasons.Reason.MESSAGE_DAMAGED)
             return []
         for effect in effects:
-            self._carry_out(effect)
+            self._apply_effect(effect)
         return effects
 
-    def _carry_out(self, effect: events.Effect) -> None:
+    def _apply_effect(self, effect: events.Effect) -> None:
         if isinstance(effect, events.Send):
             gateway = self._gateways_by_id.get(effect.process_id)
             if gateway is not None:
                 self._transport.send(gateway.peer_address, effect.message)
         elif isinstance(effect, events.SendAll):
             self._send_all(effect.message)
-        elif isinstance(effect, events.LeaveKnown):
-            known = self._leave_known_by_id.pop(effect.upstream_id, None)
+        elif isinstance(effect, events.LeaveConfirmed):
+            known = self._leave_confirmed_by_id.pop(effect.upstream_id, None)
             if known is not None:
                 known.send(None)
         elif isinstance(effect, events.Drop):
             counters.dropped(effect.reason)
-        elif isinstance(effect, events.Note):
+        elif isinstance(effect, events.LogChange):
             eliot.log_message(
                 message_type=f"upstreams:{effect.kind}",
                 upstream_id=effect.upstream_id,
@@ -277,30 +278,30 @@
             if process_id != self._process_id:
                 self._transport.send(gateway.peer_address, message)
 
-    def _hear(self, sender: transports.Sender, message: Any) -> None:
+    def _receive(self, sender: transports.Sender, message: Any) -> None:
         if sender.process_id != self._process_id:
             self._queue.put(
-                events.Heard(sender.process_id, sender.incarnation, message)
+                events.Received(sender.process_id, sender.incarnation, message)
             )
 
-    def _hear_prefixes(
+    def _receive_prefixes(
         self, sender: transports.Sender, message: messages.Prefixes
     ) -> None:
         self._prefixes.apply(message, clock.now())
 
-    def _ask(self, event: events.Event) -> result.Result[None, reasons.Reason]:
+    def _request(self, event: events.Event) -> result.Result[None, reasons.Reason]:
         if not self._is_started:
-            # This life of the process has no number yet, so that its word could not be
-            # told from that of an earlier life.
+            # This incarnation of the process has no number yet, so the other gateways
+            # could not tell its messages from those of an earlier incarnation.
             return result.Err(reasons.Reason.STATE_UNAVAILABLE)
         done = eventlet.event.Event()
-        self._queue.put(_Asked(event, done))
-        with eventlet.Timeout(ASK_TIMEOUT_SECONDS, False):
+        self._queue.put(_Request(event, done))
+        with eventlet.Timeout(REQUEST_TIMEOUT_SECONDS, False):
             reply = done.wait()
             if reply.refusal is not None:
                 return result.Err(reply.refusal)
             return result.Ok(None)
-        # The process is being stopped, or far too busy; it must not hold the request.
+        # The process is being stopped or is overloaded, and must not hold the request.
         return result.Err(reasons.Reason.SHUTTING_DOWN)
 
     def _wait_until_synced(self) -> None:
--- a/bilberrydrum/upstreams/relayed_loads.py
+++ b/bilberrydrum/upstreams/relayed_loads.py
@@ -1,25 +1,25 @@
-"""Pack the load changes of many homes into columns, and unpack them."""
+"""Pack the load changes of many owners into columns, and unpack them."""
 
 from bilberrydrum.upstreams import messages, model
 
 _THOUSANDTHS = 1000
 
 
-def pack(changes_by_home: dict[str, messages.Changes]) -> messages.Loads:
-    """Return the loads in `changes_by_home`, which hold nothing else, as columns."""
-    homes: list[str] = []
+def pack(changes_by_owner: dict[str, messages.Changes]) -> messages.Loads:
+    """Return the changes, which must be of loads alone, as columns."""
+    owners: list[str] = []
     spans: list[int] = []
     items: list[messages.LoadItem] = []
-    for home, changes in changes_by_home.items():
+    for owner, changes in changes_by_owner.items():
         previous = changes.previous
         for item in sorted(changes.loads, key=lambda load: load.change):
-            homes.append(home)
+            owners.append(owner)
             spans.append(item.change - previous)
             items.append(item)
             previous = item.change
     loads = [item.load for item in items]
     return messages.Loads(
-        tuple(homes),
+        tuple(owners),
         tuple(item.change for item in items),
         tuple(spans),
         tuple(item.upstream_id for item in items),
@@ -31,12 +31,12 @@
 
 
 def unpack(loads: messages.Loads) -> list[tuple[str, messages.Changes]]:
-    """Return the changes in `loads` one by one, each with its home.
+    """Return the changes in `loads` one by one, each with its owner.
 
     Raises
     ------
     ValueError
-        If the columns are not equally long.
+        If the columns differ in length.
     """
     rows = zip(
         loads.homes,
@@ -50,9 +50,9 @@
         strict=True,
     )
     unpacked = []
-    for home, change, span, upstream_id, n_running, n_waiting, cache, speed in rows:
+    for owner, change, span, upstream_id, n_running, n_waiting, cache, speed in rows:
         load = model.Load(n_running, n_waiting, cache / _THOUSANDTHS, float(speed))
         item = messages.LoadItem(change, upstream_id, load)
         changes = messages.Changes(0, change - span, change, loads=(item,))
-        unpacked.append((home, changes))
+        unpacked.append((owner, changes))
     return unpacked
--- a/bilberrydrum/upstreams/topology.py
+++ b/bilberrydrum/upstreams/topology.py
@@ -1,15 +1,17 @@
-"""Who tells whom: all gateways each other, or groups with seats that relay.
-
-A few gateways tell each other everything directly. With n of them each would hear n
-standing messages an interval, so beyond a limit they form about sqrt(n) groups within
-availability zones. Two members of each group hold a seat. A member tells its seats; a
-seat tells the same seat of each other group about its own group, and its own group
-about all. A gateway hears 2 messages an interval, a seat about 2 sqrt(n).
-
-Each gateway works this out for itself from the registered gateways and from whom it
-hears. When two disagree for a while, messages are sent twice or to a gateway that needs
-none, and nothing else. The two seats are independent ways, so that a seat may die
-without a gap.
+"""Which gateways send to which: a full mesh, or groups with relay nodes.
+
+A few gateways send all messages to each other directly. With n gateways, each would
+receive n heartbeats per interval, so above a limit they form about sqrt(n) groups, each
+within one availability zone. Two members of each group are its relay nodes. A member
+sends to the relay nodes of its group. A relay node sends the state of its own group to
+the corresponding relay node of each other group, and the state of all gateways to its
+own group. A gateway receives 2 messages per interval, a relay node about 2 sqrt(n).
+
+Each gateway computes the groups by itself from the registered gateways, and the relay
+nodes from the gateways that it receives messages from. While two gateways disagree,
+messages are sent twice or to a gateway that does not need them, which does no other
+harm. The two relay nodes of a group work independently, so that one may crash without a
+gap.
 """
 
 import hashlib
@@ -18,36 +20,36 @@
 
 import attrs
 
-# Seats of a group.
-N_SEATS = 2
+# Number of relay nodes of a group.
+N_RELAY_NODES = 2
 
 
 @attrs.frozen
 class Group:
-    """Gateways of one availability zone, in the order in which they take the seats."""
+    """Gateways of one availability zone, in the order of election as relay nodes."""
 
     candidates: tuple[str, ...]
 
-    def seats(self, is_live: Callable[[str], bool]) -> tuple[str, ...]:
-        """Return the members that hold the seats."""
+    def relay_nodes(self, is_live: Callable[[str], bool]) -> tuple[str, ...]:
+        """Return the members that are relay nodes."""
         live = [member for member in self.candidates if is_live(member)]
-        return tuple(live[:N_SEATS])
+        return tuple(live[:N_RELAY_NODES])
 
 
 @attrs.frozen
 class Topology:
-    """The groups, from one gateway's place."""
+    """The groups, as seen from one gateway."""
 
     own: Group
     others: tuple[Group, ...]
-    # Tells this set of gateways from any other.
+    # Hash that identifies this set of gateways.
     digest: int
 
 
-def arrange(
+def build(
     process_id: str, zones_by_id: Mapping[str, str], max_mesh: int
 ) -> Topology | None:
-    """Return the groups; None: all gateways tell each other directly."""
+    """Return the groups, or None if all gateways send to each other directly."""
     n_gateways = len(zones_by_id)
     if n_gateways <= max_mesh or process_id not in zones_by_id:
         return None
@@ -64,8 +66,8 @@
 
 
 def _split(members: list[str], n_groups: int) -> list[Group]:
-    # The order by hash, not by name, so that the seats don't all fall to the hosts that
-    # were set up first.
+    # Ordered by hash and not by name: otherwise the hosts that were set up first would
+    # be the relay nodes of all groups.
     ordered = sorted(members, key=_hash)
     return [Group(tuple(ordered[i::n_groups])) for i in range(n_groups)]
 
--- a/bilberrydrum/upstreams/views.py
+++ b/bilberrydrum/upstreams/views.py
@@ -1,15 +1,14 @@
-"""What one other home has told: a replica of its records, and until when they stand.
-
-A home's word is worth as much as the renewals behind it. Each of its messages says how
-long ago its upstreams renewed, and the receiver counts the lease from then, not from
-when the message was read: a message may have waited in a socket while this process was
-stopped, or while the network was cut.
-
-How long it waited is worked out from the sender's monotonic clock. The least difference
-between receiving and sending clock, with an allowance for clocks that run at unlike
-rates, is taken as no delay; what a message shows beyond it is delay. The first
-difference must come from an answer to a question asked shortly before, since any other
-message may be of any age.
+"""The replica of another owner's records, and when their upstreams last renewed.
+
+Each message of an owner states how long ago its upstreams renewed. The receiver counts
+the lease from that time and not from when it read the message: a message may have
+waited in a socket while this process was paused or the network was partitioned.
+
+How long it waited is computed from the sender's monotonic clock. The smallest
+difference between the receiver's clock on receipt and the sender's clock on sending,
+with an allowance for clock drift, counts as zero delay; anything above it is delay. The
+first difference must come from the answer to a request sent shortly before, since any
+other message may be of any age.
 """
 
 from collections.abc import Mapping
@@ -19,17 +18,17 @@
 
 from bilberrydrum.upstreams import messages, records
 
-# Share by which two hosts' clocks may drift apart; hosts keep well below it.
+# Relative drift that is allowed between the clocks of two hosts; hosts stay well below.
 CLOCK_DRIFT: Final = 0.001
-# What an answer's round trip may add to the least difference of the clocks. It is the
-# most by which the first message after it may be taken for newer than it is.
+# Largest part of an answer's round trip that is added to the smallest clock difference.
+# The first message after the answer may count as newer than it is by at most this.
 MAX_ROUND_TRIP_SECONDS: Final = 0.2
-# An answer that took longer is not used.
+# An answer that took longer is ignored.
 MAX_ANSWER_SECONDS: Final = 1.5
 
 
 class SenderClock:
-    """Dates a sender's messages by the receiver's clock."""
+    """Converts one sender's timestamps to the receiver's clock."""
 
     def __init__(self) -> None:
         self._difference: float | None = None
@@ -38,19 +37,20 @@
 
     @property
     def is_known(self) -> bool:
-        """Tell whether messages can be dated."""
+        """Return whether timestamps can be converted."""
         return self._difference is not None
 
     @property
     def is_exact(self) -> bool:
-        """Tell whether no better answer is needed."""
+        """Return whether a fast answer was used, so that no further one is needed."""
         return self._is_exact
 
-    def answer(self, sent_at: int, asked_at: int, now: float) -> None:
-        """Take an answer, sent after this process asked at `asked_at`.
+    def calibrate(self, sent_at: int, asked_at: int, now: float) -> None:
+        """Use an answer to a request that this process sent at `asked_at`.
 
-        An answer that took long makes later messages look older than they are, never
-        newer; a quicker one mends that.
+        `sent_at` and `asked_at` are in milliseconds, by the sender's and the receiver's
+        clock. A slow answer makes later messages look older than they are, never newer;
+        a faster answer corrects this.
         """
         round_trip = now - asked_at / 1000
         if round_trip > MAX_ANSWER_SECONDS:
@@ -64,8 +64,12 @@
         if round_trip <= MAX_ROUND_TRIP_SECONDS:
             self._is_exact = True
 
-    def date(self, sent_at: int, now: float) -> float | None:
-        """Return when a message received now was sent; None: not known."""
+    def local_time(self, sent_at: int, now: float) -> float | None:
+        """Return when a message received at `now` was sent, or None if unknown.
+
+        `sent_at` is in milliseconds by the sender's clock; the result is in seconds by
+        the receiver's.
+        """
         if self._difference is None:
             return None
         drift = CLOCK_DRIFT * (now - self._updated_at)
@@ -75,7 +79,7 @@
 
 
 class View:
-    """The replica of one home's records."""
+    """The replica of one owner's records."""
 
     def __init__(self, incarnation: int) -> None:
         self.incarnation = incarnation
@@ -83,43 +87,56 @@
         self.change = 0
         self.digest = 0
         self.clock = SenderClock()
-        # When the home was last heard, whatever it said.
-        self.heard_at = float("-inf")
-        self._standing_sent_at = -1
-        # When the upstreams renewed, by this process's clock: all of them at least
-        # then, but for those named.
+        # When any message of the owner was last received.
+        self.received_at = float("-inf")
+        self._heartbeat_sent_at = -1
+        # When the upstreams last renewed, by this process's clock: all of them at this
+        # time or later, except for those in `_renewed_at_by_id`.
         self._renewed_at = float("-inf")
         self._renewed_at_by_id: dict[str, float] = {}
-        # When the last question to the home was asked, and how many since it was heard.
+        # When the last fetch was sent to the owner, and how many since it last answered
+        # fast enough to calibrate the clock.
         self.asked_at = float("-inf")
         self.n_unanswered = 0
 
-    def renewed_at(self, upstream_id: str, life: int) -> float:
-        """Return when the upstream renewed last, as far as the home has told."""
+    def renewed_at(self, upstream_id: str, incarnation: int) -> float:
+        """Return when the upstream last renewed, as far as the owner has reported."""
         held = self.records_by_id.get(upstream_id)
-        if held is None or held.life != life:
+        if held is None or held.life != incarnation:
             return float("-inf")
         return self._renewed_at_by_id.get(upstream_id, self._renewed_at)
 
-    def stand(self, standing: messages.Standing, now: float) -> bool:
-        """Take the home's word that its upstreams stand; False: something is missed."""
-        if standing.sent_at <= self._standing_sent_at:
-            # Sent twice, or overtaken by a later one.
+    def apply_heartbeat(self, heartbeat: messages.Heartbeat, now: float) -> bool:
+        """Apply a heartbeat of the owner.
+
+        Returns
+        -------
+        bool
+            False if changes are missing here or the owner's clock is not known, so that
+            the owner must be asked first.
+        """
+        if heartbeat.sent_at <= self._heartbeat_sent_at:
+            # A duplicate, or older than a heartbeat that was applied before.
             return True
-        if (standing.change, standing.digest) != (self.change, self.digest):
+        if (heartbeat.change, heartbeat.digest) != (self.change, self.digest):
             return False
-        sent_at = self.clock.date(standing.sent_at, now)
+        sent_at = self.clock.local_time(heartbeat.sent_at, now)
         if sent_at is None:
             return False
-        self._standing_sent_at = standing.sent_at
-        self.vouch(
-            sent_at - standing.age / 1000,
-            {late.upstream_id: sent_at - late.age / 1000 for late in standing.late},
+        self._heartbeat_sent_at = heartbeat.sent_at
+        self.confirm_renewals(
+            sent_at - heartbeat.age / 1000,
+            {late.upstream_id: sent_at - late.age / 1000 for late in heartbeat.late},
         )
         return True
 
-    def vouch(self, renewed_at: float, late_by_id: Mapping[str, float]) -> None:
-        """Take it that all upstreams renewed at `renewed_at` or later, or as given."""
+    def confirm_renewals(
+        self, renewed_at: float, late_by_id: Mapping[str, float]
+    ) -> None:
+        """Record that all upstreams renewed at `renewed_at` or later.
+
+        `late_by_id` holds the upstreams for which this is not so, with their times.
+        """
         if renewed_at <= self._renewed_at:
             return
         self._renewed_at = renewed_at
@@ -131,12 +148,12 @@
         self._renewed_at_by_id = {**late_by_id, **later_by_id}
 
     @property
-    def vouched_at(self) -> float:
-        """When all upstreams but the late ones are known to have renewed."""
+    def confirmed_at(self) -> float:
+        """Return the time since which all upstreams but the late ones have renewed."""
         return self._renewed_at
 
     def late_by_id(self) -> dict[str, float]:
-        """Return when the upstreams renewed that are later than the others."""
+        """Return the late upstreams, with the times of their last renewals."""
         return {
             upstream_id: at
             for upstream_id, at in self._renewed_at_by_id.items()
@@ -144,14 +161,14 @@
         }
 
     def apply(self, changes: messages.Changes, now: float) -> bool:
-        """Take the home's changes; False: earlier ones are missed."""
+        """Apply the owner's changes; return False if earlier ones are missing."""
         if changes.change <= self.change:
             return True
         if changes.previous > self.change:
             return False
         sent_at = None
         if changes.sent_at:
-            sent_at = self.clock.date(changes.sent_at, now)
+            sent_at = self.clock.local_time(changes.sent_at, now)
         for item in changes.items:
             if item.change > self.change:
                 self._put(item.upstream_id, item.record)
@@ -164,13 +181,13 @@
         return True
 
     def replace(self, fetched: messages.Fetched, now: float) -> None:
-        """Take all that the home answers for in place of what was held."""
+        """Replace the records by all those of the owner."""
         self.records_by_id.clear()
         self.digest = 0
         self.change = 0
         self._renewed_at = float("-inf")
         self._renewed_at_by_id.clear()
-        self._standing_sent_at = -1
+        self._heartbeat_sent_at = -1
         self.apply(fetched.changes, now)
         self.change = fetched.changes.change
 
@@ -179,7 +196,7 @@
         if held is not None:
             self.digest ^= held.digest()
         self._renewed_at_by_id.pop(upstream_id, None)
-        if record is not None and record.state == records.STATE_STANDS:
+        if record is not None and record.state == records.STATE_ACTIVE:
             self.records_by_id[upstream_id] = record
             self.digest ^= record.digest()
 
@@ -190,7 +207,7 @@
     def _put_load(self, item: messages.LoadItem) -> None:
         held = self.records_by_id.get(item.upstream_id)
         if held is None:
-            # The digest will not agree, and everything is fetched.
+            # The digest will differ from the owner's, so that everything is fetched.
             return
         upstream = attrs.evolve(held.upstream, load=item.load, change=item.change)
         record = attrs.evolve(held, upstream=upstream)
--- a/tests/fakes/announcer.py
+++ b/tests/fakes/announcer.py
@@ -1,4 +1,4 @@
-"""An upstream's side of the interface: announce, renew, leave."""
+"""The upstream's side of the lease interface: announce, renew, leave."""
 
 import argparse
 from collections.abc import Callable
@@ -12,13 +12,13 @@
 
 from tests.fakes import gateways
 
-PAUSE_SECONDS: Final = 0.1
+RETRY_SECONDS: Final = 0.1
 REQUEST_SECONDS: Final = 1.0
 N_LEAVE_TRIES: Final = 20
 
 
 class Announcer:
-    """Keeps one upstream known to the system.
+    """Keeps one upstream registered with the gateways.
 
     Parameters
     ----------
@@ -43,19 +43,19 @@
         self._client = client
         self._announcement = announcement
         self._renewal = renewal
-        self._renew_seconds = PAUSE_SECONDS
+        self._renew_seconds = RETRY_SECONDS
         self._is_announced = False
         self._is_leaving = False
         self._wake = eventlet.Event()
 
     def run(self) -> None:
-        """Announce and renew until told to leave."""
+        """Announce and renew until `leave` is called."""
         while not self._is_leaving:
             gateway = self._client.current
             is_known = self._renew() if self._is_announced else self._announce()
-            # Another gateway does not know this upstream's lease: it is told all.
+            # After a change of gateway, announce again: the new one may not know it.
             self._is_announced = is_known and self._client.current == gateway
-            self._pause(self._renew_seconds if is_known else PAUSE_SECONDS)
+            self._wait(self._renew_seconds if is_known else RETRY_SECONDS)
 
     def renew_now(self) -> None:
         """Report a change without waiting for the next renewal."""
@@ -63,7 +63,7 @@
             self._wake.send()
 
     def leave(self) -> None:
-        """Tell the system that no new work is wanted."""
+        """Ask the gateways for no new work, until one of them confirms."""
         self._is_leaving = True
         for _ in range(N_LEAVE_TRIES):
             answer = self._client.request(
@@ -71,12 +71,12 @@
             )
             if answer is not None and answer.status in (200, 404):
                 return
-            # Too few gateways know of it yet, or this one did not answer.
-            self._client.move_on()
-            eventlet.sleep(PAUSE_SECONDS)
+            # Too few gateways acknowledged the leave, or this one did not answer.
+            self._client.use_next_gateway()
+            eventlet.sleep(RETRY_SECONDS)
 
     def send_cache_events(self, sequence: int, events: list[dict[str, str]]) -> None:
-        """Send cache events once; events that don't arrive are a gap."""
+        """Send cache events without a retry; lost events leave a gap."""
         if self._is_announced:
             self._client.request(
                 "POST",
@@ -99,10 +99,10 @@
             self._renew_seconds = float(answer.json()["renew_seconds"])
             return True
         if answer.status >= 500:
-            self._client.move_on()
+            self._client.use_next_gateway()
         return False
 
-    def _pause(self, seconds: float) -> None:
+    def _wait(self, seconds: float) -> None:
         with eventlet.Timeout(seconds, False):
             self._wake.wait()
         if self._wake.ready():
--- a/tests/fakes/gateway_parts.py
+++ b/tests/fakes/gateway_parts.py
@@ -61,7 +61,7 @@
     def upstreams_by_id(self) -> dict[str, upstream_model.Upstream]:
         return dict(self.upstreams)
 
-    def home_of(self, upstream_id: str) -> str | None:
+    def owner_of(self, upstream_id: str) -> str | None:
         return "g1"
 
     def prefix_holders(self, prefix: str) -> frozenset[str]:
--- a/tests/fakes/gateways.py
+++ b/tests/fakes/gateways.py
@@ -1,4 +1,4 @@
-"""A client of the system that knows several gateways and takes one that answers."""
+"""A client that knows several gateways and uses one that answers."""
 
 import json
 from typing import Any, Final
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class Answer:
-    """The whole answer of a gateway."""
+    """The complete answer of a gateway."""
 
     status: int
     headers: dict[str, str]
@@ -28,7 +28,7 @@
         return json.loads(self.body)
 
     def problem(self) -> dict[str, Any]:
-        """Return the problem document; empty if the body is none."""
+        """Return the problem document, or an empty one if the body is not JSON."""
         try:
             value = json.loads(self.body)
         except ValueError:
@@ -36,7 +36,7 @@
         return value if isinstance(value, dict) else {}
 
     def retry_after(self, default: float = 0.2, most: float = 2.0) -> float:
-        """Return the seconds to wait before asking again."""
+        """Return the seconds to wait before a retry."""
         value = self.problem().get("retry_after_seconds")
         header = self.headers.get("retry-after", str(default))
         return min(most, max(0.05, float(header if value is None else value)))
@@ -58,11 +58,11 @@
 
     @property
     def current(self) -> str:
-        """Return the address of the gateway that is asked next."""
+        """Return the address of the gateway that gets the next request."""
         return self.gateways[self._current]
 
-    def move_on(self) -> None:
-        """Ask the next gateway from now on."""
+    def use_next_gateway(self) -> None:
+        """Send further requests to the next gateway."""
         self._current = (self._current + 1) % len(self.gateways)
 
     def request(
@@ -73,9 +73,10 @@
         headers: dict[str, str] | None = None,
         timeout: float = 10.0,
     ) -> Answer | None:
-        """Ask the current gateway; None, and on to the next one, if it fails.
+        """Send a request to the current gateway.
 
-        An answer that ends early is a failure too.
+        If it fails, return None and use the next gateway from then on. A truncated
+        answer is a failure too.
         """
         gateway = self.current
         body = None if value is None else json.dumps(value).encode()
@@ -93,7 +94,7 @@
             )
         except (urllib3.exceptions.HTTPError, OSError):
             if self.current == gateway:
-                self.move_on()
+                self.use_next_gateway()
             return None
         lower = {name.lower(): text for name, text in answer.headers.items()}
         return Answer(answer.status, lower, answer.data, gateway)
--- a/tests/fakes/planner.py
+++ b/tests/fakes/planner.py
@@ -153,7 +153,7 @@
             return
         reason = answer.problem().get("reason", str(answer.status))
         self.n_by_retry[reason] += 1
-        client.move_on()
+        client.use_next_gateway()
         eventlet.sleep(answer.retry_after(most=0.5))
 
 
--- a/tests/fakes/trainer.py
+++ b/tests/fakes/trainer.py
@@ -100,7 +100,7 @@
                 reason = answer.problem().get("reason", str(answer.status))
                 self.journal.write("retry", path=path, reason=reason)
                 if reason != "batch-not-ready":
-                    self._client.move_on()
+                    self._client.use_next_gateway()
             else:
                 self.journal.write("retry", path=path, reason="no-answer")
             self.n_retries += 1
--- a/tests/samples_support.py
+++ b/tests/samples_support.py
@@ -186,7 +186,7 @@
     def upstreams_by_id(self) -> dict[str, upstream_model.Upstream]:
         return self.upstreams
 
-    def home_of(self, upstream_id: str) -> str | None:
+    def owner_of(self, upstream_id: str) -> str | None:
         return None
 
 
--- a/tests/test_upstreams_http.py
+++ b/tests/test_upstreams_http.py
@@ -1,4 +1,4 @@
-"""The upstreams' interface over a real registry, in a group of one or two gateways."""
+"""The HTTP interface of upstreams over real registries of one or two gateways."""
 
 import json
 import unittest
@@ -34,7 +34,7 @@
 
 
 class Gateway:
-    """One registry behind an edge."""
+    """One registry with its HTTP interface."""
 
     def __init__(self, name, gateways_by_id):
         own = gateways_by_id[name]
@@ -62,7 +62,7 @@
         answer = wsgi.call(self.edge, {**environ, "eventlet.input": self})
         return answer.status, answer.document
 
-    # The connection of the request, as the edge looks at it.
+    # The connection of the request, as the edge checks it.
 
     def get_socket(self):
         return self
@@ -132,8 +132,8 @@
         ("an incarnation as text", "/e0", {"incarnation": "1"}, None, "incarnation"),
         ("an application without name", "/e0", {"kind": "application"}, None, "appl"),
     )
-    def test_a_bad_announcement_loses_nothing(self, case, path, body, reason, field):
-        """Refused with every finding, and counted; what stands goes on standing."""
+    def test_a_bad_announcement_changes_nothing(self, case, path, body, reason, field):
+        """It is refused with every finding and counted, and the list is unchanged."""
         self.gateway.call("PUT", "/e0", ENGINE)
         before = self.listed()
         reason = reasons.Reason(reason or "invalid-request")
@@ -172,10 +172,10 @@
         self.assertEqual((status, reason), (got, answer["reason"]))
         self.assertEqual({"e0"}, set(self.listed()))
 
-    def test_a_request_whose_sender_has_gone_counts_for_nothing(self):
-        """A gateway was stopped; an upstream's renewal waits in its socket and the
-        upstream has long closed the connection. Read after the wake, the renewal must
-        not list the upstream for another lease.
+    def test_a_request_whose_client_has_disconnected_is_refused(self):
+        """A gateway was paused; an upstream's renewal waits in its socket, and the
+        upstream has long closed the connection. Read when the gateway resumes, the
+        renewal must not list the upstream for another lease.
         """
         self.gateway.is_client_gone = True
         self.gateway.sockets[0].send(b"x")
@@ -227,9 +227,9 @@
         self.assertEqual(200, status)
         self.assertEqual({}, dict(self.second.registry.upstreams_by_id()))
 
-    def test_a_message_made_badly_does_not_end_the_task(self):
-        """Columns of unequal length, as a faulty release may send them: the message is
-        dropped and counted, and the gateway goes on.
+    def test_a_malformed_message_does_not_end_the_task(self):
+        """A faulty release sends columns of unequal length: the message must be dropped
+        and counted, and the gateway must continue to answer.
         """
         self.start(self.first, self.second)
         self.first.call("PUT", "/e0", ENGINE)
@@ -245,7 +245,7 @@
         self.assertEqual(200, status)
 
     def test_before_its_start_a_gateway_refuses(self):
-        """The process is not registered: it has no incarnation to speak under."""
+        """The process is not registered, so it has no incarnation for its messages."""
         status, answer = self.first.call("PUT", "/e0", ENGINE)
         self.assertEqual((503, "state-unavailable"), (status, answer["reason"]))
         self.assertEqual({}, dict(self.first.registry.upstreams_by_id()))
--- a/tests/test_upstreams_parts.py
+++ b/tests/test_upstreams_parts.py
@@ -1,4 +1,4 @@
-"""The small parts of the dissemination, each on its own."""
+"""Unit tests of the parts that replicate the upstreams."""
 
 import unittest
 
@@ -30,8 +30,12 @@
         ("a later change", record(change=1), record(change=2)),
         ("a later epoch, fewer changes", record(change=9), record(epoch=2)),
         ("left, against a later epoch", record(epoch=9), record(state="left")),
-        ("a new life, against left", record(state="left", epoch=9), record(life=2)),
-        ("equal epochs: one of the homes", record(change=9), record(home="b")),
+        (
+            "a new incarnation, against left",
+            record(state="left", epoch=9),
+            record(life=2),
+        ),
+        ("equal epochs: the later owner by name", record(change=9), record(home="b")),
     )
     def test_which_of_two_records_is_newer(self, case, old, new):
         self.assertGreater(new.version(), old.version(), case)
@@ -43,45 +47,45 @@
 
 
 class SenderClock(unittest.TestCase):
-    def test_a_message_that_waited_is_dated_when_it_was_sent(self):
-        """A process is stopped for 10 s; a message sent just before is read after the
-        wake and must count as 10 s old. The sender's clock is 500 s ahead.
+    def test_a_message_that_waited_counts_from_when_it_was_sent(self):
+        """A process is paused for 10 s. A message sent just before is read after it
+        resumes, and must count as 10 s old. The sender's clock is 500 s ahead.
         """
         clock = views.SenderClock()
-        clock.answer(600_010, 100_000, 100.02)
-        self.assertAlmostEqual(101.0, clock.date(601_000, 101.01), delta=0.02)
-        self.assertAlmostEqual(101.5, clock.date(601_500, 111.5), delta=0.03)
+        clock.calibrate(600_010, 100_000, 100.02)
+        self.assertAlmostEqual(101.0, clock.local_time(601_000, 101.01), delta=0.02)
+        self.assertAlmostEqual(101.5, clock.local_time(601_500, 111.5), delta=0.03)
 
-    def test_without_a_fresh_answer_nothing_is_dated(self):
+    def test_timestamps_are_unknown_without_a_fresh_answer(self):
         clock = views.SenderClock()
-        self.assertIsNone(clock.date(5_000, 1.0))
+        self.assertIsNone(clock.local_time(5_000, 1.0))
         # An answer that took 9 s may itself have waited.
-        clock.answer(5_000, 1_000, 10.0)
+        clock.calibrate(5_000, 1_000, 10.0)
         self.assertFalse(clock.is_known)
 
     def test_a_slow_answer_makes_messages_older_never_newer(self):
-        """On a busy host an answer takes 1 s. Were it not used, the home would not be
-        believed and be asked anew, which made 96 gateways that started at once ask
-        each other without end. A quick answer later mends it.
+        """On a busy host an answer takes 1 s. If it were ignored, the owner's messages
+        would not count and the owner would be asked again, which made 96 gateways that
+        started at once ask each other endlessly. A fast answer later corrects it.
         """
         clock = views.SenderClock()
-        clock.answer(500_100, 0, 1.0)
-        self.assertLess(clock.date(501_900, 1.9), 1.9)
+        clock.calibrate(500_100, 0, 1.0)
+        self.assertLess(clock.local_time(501_900, 1.9), 1.9)
         self.assertFalse(clock.is_exact)
-        clock.answer(503_000, 3_000, 3.01)
+        clock.calibrate(503_000, 3_000, 3.01)
         self.assertTrue(clock.is_exact)
-        self.assertAlmostEqual(3.5, clock.date(503_500, 3.501), delta=0.02)
+        self.assertAlmostEqual(3.5, clock.local_time(503_500, 3.501), delta=0.02)
 
-    def test_clocks_that_run_at_unlike_rates_stay_known(self):
+    def test_clocks_that_run_at_different_rates_stay_calibrated(self):
         """The sender's clock is 0.01% slow: after hours it differs by more than a
         lease. Fresh messages must still count as fresh.
         """
         clock = views.SenderClock()
-        clock.answer(0, 0, 0.001)
+        clock.calibrate(0, 0, 0.001)
         now = 0.0
         for _ in range(20_000):
             now += 1.0
-            dated = clock.date(int(now * 1000 * 0.9999), now)
+            dated = clock.local_time(int(now * 1000 * 0.9999), now)
         self.assertLess(now - dated, 0.1)
 
 
@@ -96,11 +100,11 @@
         ("half its speed", model.Load(4, 0, 0.5, 500.0), True),
         ("a little slower", model.Load(4, 0, 0.5, 900.0), False),
     )
-    def test_when_a_load_is_told(self, case, load, is_told):
-        self.assertEqual(is_told, loads.alters_choice(LOAD, load, 16), case)
+    def test_when_a_load_is_published(self, case, load, is_published):
+        self.assertEqual(is_published, loads.affects_routing(LOAD, load, 16), case)
 
-    def test_loads_of_many_homes_in_columns(self):
-        """Two homes, one with two changes; the changes between are coalesced."""
+    def test_loads_of_many_owners_in_columns(self):
+        """Two owners, one with two changes; the changes in between are coalesced."""
         first = messages.LoadItem(7, "e0", model.Load(1, 2, 0.25, 900.0))
         second = messages.LoadItem(5, "e1", model.Load(3, 0, 0.0, 0.0))
         third = messages.LoadItem(12, "e2", model.Load())
@@ -137,8 +141,8 @@
         self.assertEqual(["e1"], [item.upstream_id for item in fetched.changes.items])
 
     def test_all_is_fetched_when_the_log_does_not_reach_back(self):
-        """A gateway that was away so long that the end of an upstream has left the log
-        must get everything, or it would keep that upstream.
+        """A gateway was away so long that the end of an upstream is no longer in the
+        log. It must get everything, or it would keep that upstream.
         """
         since = self.own.change
         self.own.end(record("e1", state="left"), 0.0)
@@ -153,17 +157,17 @@
         view.apply(self.fetched(0).changes, 0.0)
         self.own.put_load("e1", LOAD)
         self.own.end(record("e2", state="lapsed"), 0.0)
-        self.assertFalse(view.stand(self.own.standing(0.0), 0.0))
+        self.assertFalse(view.apply_heartbeat(self.own.heartbeat(0.0), 0.0))
         view.apply(self.fetched(view.change).changes, 0.0)
         self.assertEqual(self.own.digest, view.digest)
 
-    def test_late_upstreams_are_told_apart(self):
+    def test_late_upstreams_are_listed_one_by_one(self):
         self.own.renew("e0", 5.0)
         self.own.renew("e1", 5.0)
         self.own.renew("e2", 3.9)
-        standing = self.own.standing(5.2)
-        self.assertEqual(["e2"], [late.upstream_id for late in standing.late])
-        self.assertLessEqual(standing.age, 200)
+        heartbeat = self.own.heartbeat(5.2)
+        self.assertEqual(["e2"], [late.upstream_id for late in heartbeat.late])
+        self.assertLessEqual(heartbeat.age, 200)
 
 
 class Prefixes(unittest.TestCase):
@@ -192,9 +196,9 @@
         self.assertEqual(frozenset(), self.hints.holders("p5", 1.0))
         self.assertEqual({"e0"}, self.hints.holders("p10", 1.0))
 
-    def test_events_are_joined_before_they_are_passed_on(self):
+    def test_events_are_merged_before_they_are_forwarded(self):
         """Many small events between two messages make one message, the last event of a
-        prefix counts, and an engine that started again clears what came before.
+        prefix counts, and a restart of the engine clears what came before.
         """
         outgoing = prefixes.Outgoing()
         for sequence, stored, removed in (
@@ -206,11 +210,11 @@
         joined = messages.Prefixes("e0", 2, ("q",), ("p",), True)
         self.assertEqual([joined], outgoing.take())
         self.assertEqual([], outgoing.take())
-        many = tuple(f"p{i}" for i in range(prefixes.MAX_PASSED_ON + 5))
+        many = tuple(f"p{i}" for i in range(prefixes.MAX_FORWARDED + 5))
         outgoing.add(messages.Prefixes("e0", 3, many))
-        self.assertEqual(prefixes.MAX_PASSED_ON, len(outgoing.take()[0].stored))
+        self.assertEqual(prefixes.MAX_FORWARDED, len(outgoing.take()[0].stored))
 
-    def test_hints_grow_old_and_go_with_their_engine(self):
+    def test_hints_expire_and_are_dropped_with_their_engine(self):
         self.apply(1, ("p",))
         self.apply(1, ("p",), engine="e1")
         self.hints.keep_only(["e1"])
--- a/tests/test_upstreams_processes.py
+++ b/tests/test_upstreams_processes.py
@@ -1,4 +1,4 @@
-"""Three daemons: the hearer of a leave is killed, and one is stopped and woken."""
+"""Three daemons: one is killed after it answered a leave, one is paused and resumed."""
 
 import itertools
 import json
@@ -19,7 +19,7 @@
 
 
 class Site:
-    """Three daemons, and upstreams that renew at one after the other."""
+    """Three daemons, and upstreams that renew at each of them in turn."""
 
     def __init__(self, running, folder):
         self.running = running
@@ -48,7 +48,7 @@
         self.renewed_at = 0.0
 
     def call(self, name, method, path, body=None):
-        """Return status and answer; 0 if nobody answers."""
+        """Return status and answer; the status is 0 if the daemon does not answer."""
         try:
             answer = urllib3.request(
                 method,
@@ -80,7 +80,7 @@
         processes.wait_for(done, 60.0, f"{upstream_id} announced")
 
     def renew(self, upstream_ids):
-        """Renew when it is time, each at the next gateway that can be used."""
+        """Renew if it is due, each upstream at the next usable gateway."""
         if time.monotonic() - self.renewed_at < RENEW_SECONDS:
             return
         self.renewed_at = time.monotonic()
@@ -89,7 +89,7 @@
             self.call(name, "POST", f"/{upstream_id}/renew")
 
     def watch(self, seconds, renewed, gone, since):
-        """Renew for a while; nobody may list `gone` once the bound has passed."""
+        """Renew for a while; no gateway may list `gone` once the bound has passed."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             self.renew(renewed)
@@ -101,11 +101,11 @@
 
 
 class Daemons(unittest.TestCase):
-    def test_hearer_killed_then_another_stopped_and_woken(self):
-        """e0 leaves through gw-0, which is killed as soon as it has answered; e0 goes
-        on renewing by mistake. Then gw-1 is stopped, e1 leaves through gw-2, and gw-1
-        wakes with all it had not read. Nobody may list what has left 3 s after that,
-        and gw-1 not at any moment after its wake; e2 stands in the end.
+    def test_receiving_gateway_killed_then_another_paused_and_resumed(self):
+        """e0 leaves through gw-0, which is killed as soon as it has answered; e0
+        continues to renew by mistake. Then gw-1 is paused, e1 leaves through gw-2, and
+        gw-1 resumes with unread messages. No gateway may list an upstream 3 s after it
+        left, and gw-1 may not list e1 at any moment after it resumes. e2 stays listed.
         """
         with (
             tempfile.TemporaryDirectory() as folder,
--- a/tests/test_upstreams_schedules.py
+++ b/tests/test_upstreams_schedules.py
@@ -9,7 +9,7 @@
 from tests import schedules_support, upstreams_net
 
 N_MESH = 4
-# Three groups of three, of which two hold seats.
+# Three groups of three gateways, of which two are relay nodes.
 N_RELAYED = 9
 N_UPSTREAMS = 3
 
@@ -54,7 +54,7 @@
         net.renew(given[0], at=given[1])
     elif kind == "drain":
         if is_up(net.nodes_by_id[given[1]]):
-            event = events.DrainAsked(given[0], given[2], upstreams_net.WALL)
+            event = events.DrainRequested(given[0], given[2], upstreams_net.WALL)
             net.ask(given[1], event)
     elif kind == "kill" and sum(is_up(n) for n in net.nodes_by_id.values()) > 1:
         net.kill(given[0])
@@ -75,7 +75,7 @@
 
 
 def named(net, value):
-    """Name one of the net's gateways where a schedule names any of a larger net."""
+    """Map a gateway's name in a schedule to a gateway of this smaller net."""
     if isinstance(value, str) and value.startswith("gw-"):
         return f"gw-{int(value[3:]) % len(net.nodes_by_id)}"
     if isinstance(value, (set, frozenset)):
@@ -104,10 +104,10 @@
     @hypothesis.given(st.lists(actions, max_size=40))
     @schedules_support.played_by(__name__)
     def test_nothing_gone_is_listed_and_all_agree_after_the_heal(self, schedule):
-        """Gateways die, stop and are cut off while upstreams come, leave and crash, in
-        any order, over a network that loses, repeats and delays. At no step may a
-        gateway list an upstream more than 3 s after it left or fell silent; and once
-        the failures end, all gateways list the same: what truly runs.
+        """Gateways die, pause and are cut off while upstreams start, leave and crash,
+        in any order, over a network that loses, repeats and delays messages. At no step
+        may a gateway list an upstream more than 3 s after it left or fell silent, and
+        once the failures end, all gateways must list exactly the running upstreams.
         """
         self._run(schedule, N_MESH, max_mesh=N_MESH)
 
@@ -116,8 +116,8 @@
     )
     @hypothesis.given(st.lists(actions, max_size=40))
     @schedules_support.played_by(__name__)
-    def test_the_same_holds_when_seats_relay(self, schedule):
-        """As above, with nine gateways in groups of three whose seats relay."""
+    def test_the_same_holds_with_relay_nodes(self, schedule):
+        """As above, with nine gateways in groups of three with relay nodes."""
         self._run(schedule, N_RELAYED, max_mesh=N_MESH)
 
     def _run(self, schedule, n_gateways, max_mesh):
--- a/tests/upstreams_net.py
+++ b/tests/upstreams_net.py
@@ -1,8 +1,8 @@
-"""Several directories joined by a network that loses, delays and cuts, in one thread.
+"""Several directories on a network that loses, delays and cuts, in one thread.
 
-Time moves in steps; each gateway has a clock of its own, at its own offset and rate.
-Upstreams renew through a balancer that takes any gateway. The net knows the truth, so
-that a test can tell what a gateway should not list.
+Time moves in steps; each gateway has its own clock, with its own offset and rate.
+Upstreams renew through a load balancer that chooses any gateway. The net knows the true
+state of each upstream, so that a test can check what a gateway must not list.
 """
 
 import random
@@ -15,7 +15,7 @@
 LEASE = 2.0
 RENEW = 0.5
 STANDING = 0.5
-# The brief's bound: no new work after a leave or silence.
+# Longest time, in seconds, that an upstream may be listed after it left or fell silent.
 BOUND = 3.0
 STEP = 0.05
 LATENCY = 0.002
@@ -36,19 +36,19 @@
     incarnation: int
     core: object = None
     is_frozen: bool = False
-    # Events that wait while the process is stopped.
+    # Events that wait while the process is paused.
     waiting: list = attrs.field(factory=list)
     replies: list = attrs.field(factory=list)
-    known_leaves: set = attrs.field(factory=set)
+    confirmed_leaves: set = attrs.field(factory=set)
 
 
 @attrs.define
 class Agent:
-    """One upstream, as it truly is."""
+    """One upstream in its true state."""
 
     upstream: object
     is_running: bool = True
-    # It said that it leaves, and has not announced itself since.
+    # It announced that it is leaving, and has not announced itself since.
     is_leaving: bool = False
     renewed_at: float = float("-inf")
     left_at: float = float("inf")
@@ -64,7 +64,7 @@
         self.max_mesh = max_mesh
         self.nodes_by_id = {}
         self.cut = set()
-        # Messages on a cut link wait for it to heal (as in a socket) or are lost.
+        # True: messages on a cut link wait as in a socket until it heals; False: lost.
         self.holds_on_cut = False
         self.loss = 0.0
         self.duplication = 0.0
@@ -74,7 +74,7 @@
         self.held = []
         self.n_sent = 0
         self.agents_by_id = {}
-        # Renewals go only to these gateways, when set.
+        # If set, renewals go only to these gateways.
         self.balancer = None
         for i in range(n_gateways):
             node = Node(f"gw-{i}", 1000.0 * i, 1.0 + 0.0001 * (i % 3 - 1), 1)
@@ -86,7 +86,7 @@
             self.announce(f"e{i}")
         self.advance(0.3)
 
-    # What a test does.
+    # Actions of a test.
 
     def start(self, process_id):
         node = self.nodes_by_id[process_id]
@@ -150,7 +150,7 @@
         return reply
 
     def leave(self, upstream_id, at, is_silent=True):
-        """Send a leave; the upstream renews no more if `is_silent`."""
+        """Send a leave; if `is_silent`, the upstream stops renewing."""
         agent = self.agents_by_id[upstream_id]
         reply = self.ask(at, events.Leaving(upstream_id))
         agent.left_at = self.now
@@ -185,7 +185,7 @@
             if check:
                 self.check()
 
-    # What a test sees.
+    # Observations of a test.
 
     def clock(self, node):
         return node.offset + self.now * node.rate
@@ -194,7 +194,7 @@
         node = self.nodes_by_id[process_id]
         if node.core is None:
             return set()
-        return set(node.core.listing.standing_by_id(self.clock(node)))
+        return set(node.core.listing.active_by_id(self.clock(node)))
 
     def all_listed(self):
         return [
@@ -209,7 +209,7 @@
         )
 
     def check(self):
-        """No gateway lists an upstream for longer than the bound."""
+        """Check that no gateway lists an upstream for longer than the bound."""
         for node in self.nodes_by_id.values():
             if node.core is None:
                 continue
@@ -225,7 +225,7 @@
                     f"{node.process_id} lists {upstream_id}, left {left:.2f} s ago"
                 )
 
-    # The machinery.
+    # Implementation.
 
     def _tick(self):
         zones = {name: f"zone-{i % 3}" for i, name in enumerate(self.nodes_by_id)}
@@ -262,16 +262,17 @@
                 sent += [(peer, effect.message) for peer in peers]
             elif isinstance(effect, events.Reply):
                 node.replies.append(effect)
-            elif isinstance(effect, events.LeaveKnown):
-                node.known_leaves.add(effect.upstream_id)
-        # A gateway asks homes in the order of a set, which differs by process; each
-        # message draws its fate. What one receiver is sent stays in order.
+            elif isinstance(effect, events.LeaveConfirmed):
+                node.confirmed_leaves.add(effect.upstream_id)
+        # A gateway sends to owners in the order of a set, which differs by process, and
+        # the random loss and delay are drawn per message. So the messages are sorted by
+        # receiver; those to one receiver stay in order.
         for peer, message in sorted(sent, key=lambda each: each[0]):
             self._send(node, peer, in_order(message))
 
     def _send(self, node, receiver, message):
         self.n_sent += 1
-        event = events.Heard(node.process_id, node.incarnation, message)
+        event = events.Received(node.process_id, node.incarnation, message)
         if (node.process_id, receiver) in self.cut:
             if self.holds_on_cut:
                 self.held.append((node.process_id, receiver, event))
@@ -305,7 +306,7 @@
 
 
 def in_order(message):
-    """Return a message whose lists, made from sets, are in one order."""
+    """Return a message whose lists, made from sets, are sorted."""
     if not isinstance(message, messages.Relayed):
         return message
     late_homes = tuple(sorted(message.late_homes, key=lambda late: late.home))
