--- a/bilberrydrum/upstreams/directory.py
+++ b/bilberrydrum/upstreams/directory.py
@@ -6,7 +6,7 @@
 load balancer and may reach any gateway: one that is not the owner forwards them. It
 takes the upstream over, under a higher epoch, when the owner is silent or does not
 answer. The owner publishes each change at once and, in each interval, a heartbeat that
-confirms the renewals of all its other upstreams; `views` holds the replicas. Each query
+confirms the renewals of all its upstreams; `views` holds the replicas. Each query
 checks the leases against the clock.
 """
 
--- a/bilberrydrum/upstreams/leave_requests.py
+++ b/bilberrydrum/upstreams/leave_requests.py
@@ -42,7 +42,7 @@
         own_zone: str,
         now: float,
     ) -> list[str]:
-        """Record a leave request and return the gateways that must acknowledge it."""
+        """Record a leave request and return the gateways to ask for acknowledgement."""
         self._requests_by_id[record.upstream_id] = LeaveRequest(record, now)
         by_zone = sorted(live_peers, key=lambda peer: zones_by_id.get(peer) == own_zone)
         return by_zone[: N_ACKNOWLEDGEMENTS + 1]
--- a/bilberrydrum/upstreams/model.py
+++ b/bilberrydrum/upstreams/model.py
@@ -55,6 +55,6 @@
     # Applications: the application's name.
     application: str = ""
     load: Load = attrs.field(factory=Load)
-    # Number of the last change that the upstream reported, assigned by its owner. It
-    # rises with each change.
+    # Number of the owner's last change of this upstream. It rises with each change that
+    # the upstream reports.
     change: int = 0
--- a/bilberrydrum/upstreams/views.py
+++ b/bilberrydrum/upstreams/views.py
@@ -94,8 +94,8 @@
         # time or later, except for those in `_renewed_at_by_id`.
         self._renewed_at = float("-inf")
         self._renewed_at_by_id: dict[str, float] = {}
-        # When the last fetch was sent to the owner, and how many since it last answered
-        # fast enough to calibrate the clock.
+        # When the last fetch was sent to the owner, and how many have had no answer. An
+        # answer counts only if the clock is exact after it.
         self.asked_at = float("-inf")
         self.n_unanswered = 0
 
