--- a/bilberrydrum/batches/item_run.py
+++ b/bilberrydrum/batches/item_run.py
@@ -9,7 +9,7 @@
 from bilberrydrum import clock, event_stream, reasons, upstream_protocol
 from bilberrydrum.batches import model, texts
 from bilberrydrum.fleet import model as fleet_model
-from bilberrydrum.requests import attempts, examination, outgoing_requests
+from bilberrydrum.requests import attempts, crash_probe, outgoing_requests
 
 # An engine that sends no answer's head for this long, in seconds, hangs: items are sent
 # only to free places, where the first token takes some 20 ms.
@@ -179,7 +179,7 @@
 
 
 def _without_answer(error: attempts.AttemptError) -> Ended:
-    is_cut_off = error.may_have_run and error.reason in examination.BROKEN
+    is_cut_off = error.may_have_run and error.reason in crash_probe.BROKEN_REASONS
     detail = f"{error.reason.value} {error.detail}".strip()
     return Ended(_outcome_of(error), detail, is_cut_off=is_cut_off)
 
--- a/bilberrydrum/batches/item_sender.py
+++ b/bilberrydrum/batches/item_sender.py
@@ -118,7 +118,7 @@
         """Hold a crash against the item, or clear it."""
         is_whole = ended.outcome is item_run.Outcome.COMPLETED
         if is_whole or run.has_survived():
-            self._crashes.was_answered(lambda: self._fingerprint(opened, run))
+            self._crashes.record_answer(lambda: self._fingerprint(opened, run))
         if ended.is_cut_off:
             broken = crash_watch.BrokenRun(
                 run.item.item_id,
@@ -126,9 +126,9 @@
                 crash_watch.subject_of("POST", opened.batch.host, run.item.target),
                 engine.upstream,
                 seconds,
-                was_well=run.has_survived(),
+                was_healthy=run.has_survived(),
             )
-            self._crashes.run_broke(broken)
+            self._crashes.record_broken_run(broken)
 
     def _fingerprint(self, opened: work.OpenBatch, run: lifecycle.ItemRun) -> str:
         """Return what is the same whenever the item's work is asked for."""
--- a/bilberrydrum/batches/lifecycle.py
+++ b/bilberrydrum/batches/lifecycle.py
@@ -82,7 +82,7 @@
 
     def has_survived(self) -> bool:
         """Tell whether the attempt was well for so long that it clears the item."""
-        return self.generating_seconds >= quarantine.SURVIVED_SECONDS
+        return self.generating_seconds >= quarantine.HEALTHY_RUN_SECONDS
 
     def end_generating(self) -> None:
         """Note that the attempt at an engine has ended, however."""
--- a/bilberrydrum/fleet/control.py
+++ b/bilberrydrum/fleet/control.py
@@ -382,7 +382,7 @@
     def _sweep_once(self) -> None:
         self._notice_leadership()
         self._stores.choose_founders()
-        self._crashes.lapse()
+        self._crashes.expire()
         due = self._liveness.due(clock.now(), self._section().upstreams_by_id.values())
         if due.silent_ids:
             eliot.log_message(message_type="upstreams:silent", ids=due.silent_ids)
--- a/bilberrydrum/fleet/crash_calls.py
+++ b/bilberrydrum/fleet/crash_calls.py
@@ -1,6 +1,6 @@
-"""What the control group's leader does about requests that end upstreams.
+"""The control group leader's handlers for crash-causing requests.
 
-The decisions are in `quarantine` and `trials`.
+The decisions are made in `quarantine` and `trials`.
 """
 
 import time
@@ -14,25 +14,25 @@
 
 
 class CrashCalls:
-    """The part of the leader that concerns such requests."""
+    """The leader's handlers of crash reports, trials and operators' calls."""
 
     def __init__(self, replica_: replica.Replica) -> None:
         self._replica = replica_
         self._trials = trials.Trials()
 
     def begin(self, now: float) -> None:
-        """Start over: this process has just become the leader."""
+        """Reset the trials when this process has become the leader."""
         self._trials.begin(self.section().book.evidence_by_fingerprint, now)
 
     def section(self) -> crash_commands.Section:
-        """Return what is held against requests."""
+        """Return the group's crash history."""
         return crash_commands.section_of(self._replica.state())
 
     def on_report(
         self, sender: transport.Sender, message: messages.ReportCrashes
     ) -> Any:
-        """Note what a sender of requests has seen."""
-        command = crash_commands.NoteCrashes(message.reports, message.cleared)
+        """Record the crashes and answers that a sender of requests reports."""
+        command = crash_commands.RecordCrashes(message.reports, message.cleared)
         if not self._commit(command, sender.address):
             return None
         for report in message.reports:
@@ -42,7 +42,7 @@
         return messages.CrashesTaken(self.section().index)
 
     def on_ask_trial(self, sender: transport.Sender, message: messages.AskTrial) -> Any:
-        """Let a doubtful request be tried, if no other copy is."""
+        """Grant the trial of a suspected request unless another copy is being tried."""
         is_granted = self._trials.grant(message.fingerprint, clock.now())
         eliot.log_message(
             message_type="crashes:trial",
@@ -53,38 +53,38 @@
         return messages.Trial(is_granted)
 
     def on_list(self, sender: transport.Sender, message: messages.ListCrashes) -> Any:
-        """Tell what is held against requests."""
+        """Return the crash history for operators."""
         return self.section().book
 
     def on_lift(
         self, sender: transport.Sender, message: messages.LiftQuarantine
     ) -> Any:
-        """Have a request served again, as an operator wishes."""
-        command = crash_commands.NoteCrashes(cleared=(message.fingerprint,))
+        """Lift a quarantine on behalf of an operator."""
+        command = crash_commands.RecordCrashes(cleared=(message.fingerprint,))
         if not self._commit(command, sender.address):
             return None
         return messages.Done()
 
-    def lapse(self) -> None:
-        """End what is over; called now and then."""
+    def expire(self) -> None:
+        """Expire quarantines and old histories; called periodically."""
         if self.section().book.is_due(time.time()):
-            self._commit(crash_commands.LapseCrashes(), "")
+            self._commit(crash_commands.ExpireCrashes(), "")
 
     def _commit(self, command: object, address: str) -> bool:
         answer = self._replica.propose(command, commands.COMMIT_SECONDS)
         if answer.is_err():
             return False
-        noted: crash_commands.Noted = answer.unwrap()
+        recorded: crash_commands.CrashesRecorded = answer.unwrap()
         known = self.section().book.evidence_by_fingerprint
-        for fingerprint, standing in noted.standings_by_fingerprint.items():
-            evidence = known.get(fingerprint)
+        for fingerprint, standing in recorded.standings_by_fingerprint.items():
+            history = known.get(fingerprint)
             eliot.log_message(
                 message_type="crashes:standing",
                 fingerprint=fingerprint,
                 standing=standing,
-                subject=evidence.subject if evidence else "",
-                ended_ids=sorted(evidence.ended_at_by_id) if evidence else [],
-                n_quarantines=evidence.n_quarantines if evidence else 0,
+                subject=history.subject if history else "",
+                ended_ids=sorted(history.ended_at_by_id) if history else [],
+                n_quarantines=history.n_quarantines if history else 0,
                 reported_by=address,
             )
         return True
--- a/bilberrydrum/fleet/crash_commands.py
+++ b/bilberrydrum/fleet/crash_commands.py
@@ -1,7 +1,8 @@
-"""The control group's record of requests that end upstreams: commands.
+"""Commands on the control group's history of crash-causing requests.
 
-Kept by the group, as any gateway may be asked next: what three gateways have seen, one
-crash each, counts together, and outlives each of them and each leader.
+The history is replicated, because the next attempt may arrive at any gateway. Crashes
+that three gateways have detected, one each, count together, and the history survives
+the loss of each gateway and each leader.
 """
 
 from typing import Final
@@ -13,42 +14,43 @@
 from bilberrydrum.state import machine
 
 SECTION = "crashes"
-# Cleared requests whose upstreams' ends are remembered. A report that is sent again
-# comes within seconds, in which few requests are cleared of anything.
+# Cleared requests of which the crashed upstreams are stored. A report is resent within
+# seconds, and few requests with a crash history are cleared in that time.
 MAX_CLEARED: Final = 64
 
 
 @codec.register("fleet.crash-section")
 @attrs.define
 class Section:
-    """The whole record."""
+    """The complete crash history in the group's state."""
 
     # Index of the last log entry that changed it.
     index: int = 0
-    book: quarantine.Book = attrs.field(factory=quarantine.Book)
-    # Incarnations of upstreams that ended with a request before it was cleared, by its
-    # fingerprint; the latest last.
+    book: quarantine.CrashHistory = attrs.field(factory=quarantine.CrashHistory)
+    # Upstream incarnations that crashed while they ran a request, before the request
+    # was cleared, by its fingerprint; the latest last.
     cleared_of_by_fingerprint: dict[str, tuple[str, ...]] = attrs.field(factory=dict)
 
-    def note(self, report: messages.CrashReport, time: float) -> bool:
-        """Note what a report says; return whether that was news."""
+    def record(self, report: messages.CrashReport, time: float) -> bool:
+        """Record a reported crash; return False if that changes nothing."""
         crash = report.crash
         if crash.upstream_id in self.cleared_of_by_fingerprint.get(
             crash.fingerprint, ()
         ):
-            # An incarnation ends once. Sent again to another leader after a lost
-            # answer, the report would be held against the request that was answered
-            # meanwhile.
+            # An incarnation crashes only once, so this report is a retry. A sender
+            # whose acknowledgement was lost resends its report to the next leader; if
+            # it counted again, the crash would be attributed to a request that was
+            # answered in the meantime.
             return False
-        return self.book.note(crash, time - report.age_seconds)
+        return self.book.record(crash, time - report.age_seconds)
 
     def clear(self, fingerprint: str) -> bool:
-        """Forget a request that was answered; return whether anything was known."""
-        evidence = self.book.evidence_by_fingerprint.get(fingerprint)
-        if evidence is None:
+        """Drop the history of an answered request; return whether it had one."""
+        history = self.book.evidence_by_fingerprint.get(fingerprint)
+        if history is None:
             return False
         known = self.cleared_of_by_fingerprint.pop(fingerprint, ())
-        ended_ids = (*known, *evidence.ended_at_by_id)[-quarantine.MAX_UPSTREAMS :]
+        ended_ids = (*known, *history.ended_at_by_id)[-quarantine.MAX_UPSTREAMS :]
         self.cleared_of_by_fingerprint[fingerprint] = ended_ids
         if len(self.cleared_of_by_fingerprint) > MAX_CLEARED:
             del self.cleared_of_by_fingerprint[
@@ -58,53 +60,53 @@
 
 
 def section_of(state: machine.State) -> Section:
-    """Return the section in `state`."""
+    """Return the crash section of `state`."""
     found: Section = state.section(SECTION, Section)
     return found
 
 
 @codec.register("fleet.note-crashes")
 @attrs.frozen
-class NoteCrashes:
-    """Note upstreams that ended while they ran requests, and requests answered."""
+class RecordCrashes:
+    """Record upstreams that crashed while they ran requests, and answered requests."""
 
     reports: tuple[messages.CrashReport, ...] = ()
-    # Fingerprints.
+    # Fingerprints of the requests that were answered.
     cleared: tuple[str, ...] = ()
 
 
 @codec.register("fleet.lapse-crashes")
 @attrs.frozen
-class LapseCrashes:
-    """End quarantines whose time is up, and forget what is old."""
+class ExpireCrashes:
+    """End expired quarantines and drop histories past their retention time."""
 
 
 @codec.register("fleet.read-crashes")
 @attrs.frozen
 class ReadCrashes:
-    """Ask for the whole record; answered with the section."""
+    """Query of the complete crash history; the answer is the section."""
 
 
 @codec.register("fleet.crashes-noted")
 @attrs.frozen
-class Noted:
-    """Requests whose standing the command has changed, by fingerprint."""
+class CrashesRecorded:
+    """Result of a command: the standings that it has changed, by fingerprint."""
 
     # Labels of `quarantine.Standing`.
     standings_by_fingerprint: dict[str, str]
 
 
-def _noted(
+def _to_result(
     section: Section,
     before: dict[str, quarantine.Standing],
     is_change: bool,
     context: machine.Context,
-) -> Noted:
+) -> CrashesRecorded:
     if is_change:
         section.index = context.index
     now = _standings(section)
     clear = quarantine.Standing.CLEAR
-    return Noted(
+    return CrashesRecorded(
         {
             fingerprint: now.get(fingerprint, clear).label
             for fingerprint in sorted(before.keys() | now.keys())
@@ -119,24 +121,28 @@
 
 
 @machine.apply.register
-def _(command: NoteCrashes, state: machine.State, context: machine.Context) -> Noted:
+def _(
+    command: RecordCrashes, state: machine.State, context: machine.Context
+) -> CrashesRecorded:
     section = section_of(state)
     before = _standings(section)
     is_change = False
     for fingerprint in command.cleared:
         is_change |= section.clear(fingerprint)
     for report in command.reports:
-        is_change |= section.note(report, context.time)
-    return _noted(section, before, is_change, context)
+        is_change |= section.record(report, context.time)
+    return _to_result(section, before, is_change, context)
 
 
 @machine.apply.register
-def _(command: LapseCrashes, state: machine.State, context: machine.Context) -> Noted:
+def _(
+    command: ExpireCrashes, state: machine.State, context: machine.Context
+) -> CrashesRecorded:
     section = section_of(state)
     before = _standings(section)
     is_change = section.book.is_due(context.time)
-    section.book.lapse(context.time)
-    return _noted(section, before, is_change, context)
+    section.book.expire(context.time)
+    return _to_result(section, before, is_change, context)
 
 
 @machine.answer.register
--- a/bilberrydrum/fleet/subscriber.py
+++ b/bilberrydrum/fleet/subscriber.py
@@ -59,7 +59,7 @@
         self.registry = model.Registry()
         self.policy_lease = policy_lease.PolicyLease(revocation_seconds)
         # What is held against requests that end upstreams.
-        self.crashes = quarantine.Book()
+        self.crashes = quarantine.CrashHistory()
         self.crashes_index = 0
         self._policy_index = 0
         self._is_connected = False
@@ -230,7 +230,7 @@
         return None
 
 
-def _log_crashes(index: int, book: quarantine.Book) -> None:
+def _log_crashes(index: int, book: quarantine.CrashHistory) -> None:
     standings = {
         fingerprint: each.standing()
         for fingerprint, each in book.evidence_by_fingerprint.items()
--- a/bilberrydrum/fleet/trials.py
+++ b/bilberrydrum/fleet/trials.py
@@ -1,33 +1,35 @@
-"""Which doubtful requests are being tried: one at a time over the whole deployment.
+"""Trials of suspected requests, limited to one at a time in the complete deployment.
 
-Copies of one request come through several gateways at once. Each gateway by itself
-would send one, and a request that ends upstreams would take one for each gateway.
+Copies of one request may arrive through several gateways at once. Without a common
+limit each gateway would send one copy, and a crash-causing request would crash one
+upstream for each gateway.
 """
 
 from collections.abc import Iterable
 from typing import Final
 
-# A trial that was not heard of for this long, in seconds, is over: the request has been
-# answered, has ended its upstream, or has lasted longer than it takes to end one.
+# A trial is over after this time without a report, in seconds: the request has been
+# answered, has crashed its upstream, or has run for longer than a crash takes.
 TRIAL_SECONDS: Final = 5.0
 
 
 class Trials:
-    """The leader's memory of the trials it has granted."""
+    """The trials that the leader has granted."""
 
     def __init__(self) -> None:
         self._until_by_fingerprint: dict[str, float] = {}
 
     def begin(self, fingerprints: Iterable[str], now: float) -> None:
-        """Start over: this process has just become the leader.
+        """Reset the trials when this process has become the leader.
 
-        An earlier leader may have granted a trial of each of `fingerprints` just now.
+        The previous leader may just have granted a trial of each of `fingerprints`, so
+        all of these count as being tried.
         """
         until = now + TRIAL_SECONDS
         self._until_by_fingerprint = dict.fromkeys(fingerprints, until)
 
     def grant(self, fingerprint: str, now: float) -> bool:
-        """Tell whether a request may be tried now; note it if so."""
+        """Return whether a request may be tried now, and record the trial if so."""
         self._until_by_fingerprint = {
             each: until
             for each, until in self._until_by_fingerprint.items()
@@ -39,5 +41,5 @@
         return True
 
     def end(self, fingerprint: str) -> None:
-        """Note the outcome of a trial."""
+        """Remove a trial whose outcome is known."""
         self._until_by_fingerprint.pop(fingerprint, None)
--- a/bilberrydrum/http/crashes.py
+++ b/bilberrydrum/http/crashes.py
@@ -1,4 +1,4 @@
-"""The operators' view of requests that end upstreams, and how to have one served."""
+"""Operators' routes to list crash-causing requests and to lift a quarantine."""
 
 from typing import Any, Protocol
 
@@ -9,33 +9,33 @@
 from bilberrydrum.http import edge
 from bilberrydrum.state import leader_calls
 
-# Time for the control group to answer.
+# Timeout of calls to the control group, in seconds.
 _CALL_SECONDS = 2.0
 
 
 class Record(Protocol):
-    """Whoever keeps what is held against requests."""
+    """A stored crash history that operators can read and change."""
 
-    def book(self) -> quarantine.Book:
-        """Return all of it."""
+    def history(self) -> quarantine.CrashHistory:
+        """Return the crash history of all requests."""
 
     def lift(self, fingerprint: str) -> None:
-        """Forget what is held against one request."""
+        """Drop the crash history of one request, which lifts its quarantine."""
 
 
 class GroupRecord:
-    """The control group's, which holds for all processes of a deployment."""
+    """The control group's crash history, which applies to all processes."""
 
     def __init__(self, calls: leader_calls.LeaderCalls) -> None:
         self._calls = calls
 
-    def book(self) -> quarantine.Book:
-        """Return all of it."""
-        found: quarantine.Book = self._ask(messages.ListCrashes())
+    def history(self) -> quarantine.CrashHistory:
+        """Return the crash history of all requests."""
+        found: quarantine.CrashHistory = self._ask(messages.ListCrashes())
         return found
 
     def lift(self, fingerprint: str) -> None:
-        """Forget what is held against one request."""
+        """Drop the crash history of one request, which lifts its quarantine."""
         self._ask(messages.LiftQuarantine(fingerprint))
 
     def _ask(self, message: object) -> Any:
@@ -62,24 +62,24 @@
 
     def list(self, request: edge.Request) -> edge.Response:
         """Handle ``GET /v1/quarantine``."""
-        known = self._record.book().evidence_by_fingerprint.values()
+        known = self._record.history().evidence_by_fingerprint.values()
         listed = sorted(known, key=lambda each: (-each.standing(), -each.last_at))
         return edge.Response.of_json({"requests": [_row(each) for each in listed]})
 
     def lift(self, request: edge.Request) -> edge.Response:
         """Handle ``DELETE /v1/quarantine/{fingerprint}``."""
         fingerprint = request.variables["fingerprint"]
-        if fingerprint not in self._record.book().evidence_by_fingerprint:
+        if fingerprint not in self._record.history().evidence_by_fingerprint:
             raise edge.refuse(404, reasons.Reason.NOT_FOUND, fingerprint)
         self._record.lift(fingerprint)
         return edge.Response.of_json({"fingerprint": fingerprint})
 
 
-def _row(evidence: quarantine.Evidence) -> dict[str, Any]:
+def _row(history: quarantine.RequestHistory) -> dict[str, Any]:
     return {
-        "fingerprint": evidence.fingerprint,
-        "standing": evidence.standing().label,
-        "subject": evidence.subject,
-        "ended_ids": sorted(evidence.ended_at_by_id),
-        "n_quarantines": evidence.n_quarantines,
+        "fingerprint": history.fingerprint,
+        "standing": history.standing().label,
+        "subject": history.subject,
+        "ended_ids": sorted(history.ended_at_by_id),
+        "n_quarantines": history.n_quarantines,
     }
--- a/bilberrydrum/nodes/store.py
+++ b/bilberrydrum/nodes/store.py
@@ -41,7 +41,7 @@
         # Scoring requests are sent by the stores' leader: nobody else sees the next
         # crash, as with items.
         self._crashes = crash_watch.CrashWatch(
-            self.view, self._control.calls, n_to_report=quarantine.N_FOR_DOUBT
+            self.view, self._control.calls, n_to_report=quarantine.SUSPECT_THRESHOLD
         )
         self._item_crashes = crash_watch.CrashWatch(
             self.view, self._control.calls, is_crowded=True
--- a/bilberrydrum/quarantine.py
+++ b/bilberrydrum/quarantine.py
@@ -1,31 +1,34 @@
-"""Which requests end the upstreams that run them, and what is done about it.
-
-A crash takes along all requests that run at the upstream. Most are bystanders, and
-upstreams crash for reasons of their own: hosts and racks are lost, releases fail. What
-sets the guilty one apart is that it was there each time, and never came to an end
-elsewhere. So a request is judged by the starts of upstreams that ended while they ran
-it, since it was last answered whole:
-
-- one, or two that ended at the same moment: nothing follows. A popular request runs at
-  all upstreams of a rack that loses its power.
-- two, one after the other: doubtful. It is tried at one upstream at a time, and not at
-  the last that stands, so that others beside it are still served.
-- three, and not all of them in the same half second: quarantined. It is refused
-  everywhere.
-
-Where many requests run at an upstream, as items of batches do at an engine, its end
-says little of each. There upstreams must also end where the request is rather than
-where it isn't: of those that ended since it was first cut off, twice as many with it as
-without.
-
-What ran beside a guilty request is not held to have ended those upstreams: they are
-explained, and count for nothing but the bound. Several that are guilty explain one
-another's ends, so after `N_REGARDLESS`, explained or not, a request is quarantined
-whatever else goes on.
-
-A whole answer clears a request, whatever it was. A quarantine lapses after a while, as
-a new release may have mended the service; the request is doubtful then and gets one
-trial, and the next quarantine lasts twice as long.
+"""Quarantine of requests that crash the upstreams that run them.
+
+A circuit breaker by request. A crash cuts off all requests that run at the upstream,
+most of which are unrelated to it, and upstreams also crash for other reasons: hosts and
+racks fail, releases are faulty. A crash-causing request differs from the others in that
+it was running at every one of these crashes and was never answered elsewhere. A request
+is therefore classified by the upstream incarnations that crashed while they ran it,
+counted since it was last answered completely:
+
+- One crash, or two concurrent ones: clear. A popular request runs at all upstreams of a
+  rack that loses its power.
+- Two crashes, one after the other: suspected (`Standing.DOUBTFUL`). The request is
+  tried at one upstream at a time, and not at the only healthy one while others are
+  down, so that other requests are still served.
+- Three crashes, not all of them within the same half second: quarantined. All processes
+  refuse the request.
+
+Where many requests run at an upstream, as items of batches do at an engine, a crash is
+weak evidence about each of them. There, crashes must also correlate with the request:
+of the upstreams that crashed since it was first cut off, at least twice as many must
+have been running it as were not.
+
+Once a request is quarantined, its crashes are attributed to it and no longer to the
+requests that ran concurrently. For these, such crashes count only towards
+`UNCONDITIONAL_THRESHOLD`: several crash-causing requests that run together would
+otherwise have their crashes attributed to one another without end, so a request that
+reaches that threshold is quarantined regardless of attribution and unrelated crashes.
+
+A complete answer clears a request, whatever its standing. A quarantine expires, as a
+new release may have fixed the service. The request is then suspected and gets one
+trial; a further quarantine lasts twice as long.
 """
 
 import enum
@@ -36,305 +39,348 @@
 
 from bilberrydrum import codec
 
-# Ended upstreams that make a request doubtful, and that have it quarantined. Two may be
-# chance for a request that is tried again beside the guilty one; three are not.
-N_FOR_DOUBT: Final = 2
-N_FOR_QUARANTINE: Final = 3
-# The same whatever else ends, and whoever is held to have ended them: the three, and
-# three more that are borne until all have to know. Fewer would hold innocent items back
-# where engines end every second for reasons of their own.
-N_REGARDLESS: Final = 6
-# Ends that say something of a request that is cut off for the first time, in seconds
-# before: a storm that goes on.
-BESIDE_SECONDS: Final = 10.0
-# Upstreams that ended without a request, remembered of each; more change nothing.
-MAX_BESIDE: Final = 16
-# Upstreams that end within this time of one another, in seconds, ended together. A rack
-# loses its power within milliseconds; a request that is tried elsewhere has to get
-# there and begin to run before it can end the next, half of a look-up's run or more.
-MOMENT_SECONDS: Final = 0.02
+# Crashes after which a request is suspected, and after which it is quarantined. Two can
+# happen by chance to a request that is retried where the culprit runs; three do not.
+SUSPECT_THRESHOLD: Final = 2
+QUARANTINE_THRESHOLD: Final = 3
+# Crashes after which a request is quarantined regardless of unrelated crashes and of
+# attribution to other requests: the three of `QUARANTINE_THRESHOLD`, and three more
+# that are tolerated until all processes have to know of the quarantine. A lower value
+# would hold back unrelated items where engines crash every second for other reasons.
+UNCONDITIONAL_THRESHOLD: Final = 6
+# When a request is cut off for the first time, crashes of other upstreams within this
+# time before, in seconds, count as unrelated crashes: a series of crashes that was
+# under way already.
+UNRELATED_CRASH_SECONDS: Final = 10.0
+# Unrelated crashes stored of each request; more would not change its standing.
+MAX_UNRELATED_CRASHES: Final = 16
+# Crashes of upstreams within this time of one another, in seconds, are concurrent. A
+# rack loses its power within milliseconds. A request that is retried elsewhere has to
+# arrive and begin to run there before it can crash the next upstream, which takes half
+# of a look-up's run or more.
+CONCURRENT_SECONDS: Final = 0.02
 # A request is quarantined only if its crashes are at least this far apart, in seconds.
-# A kill of all, or a rack that goes host by host, is over by then: whatever runs there
-# is answered by what stands, or is doubtful and cleared by its trial. What a caller
-# sends again and again takes longer.
+# A kill of all upstreams, or of a rack host by host, is over by then: the requests that
+# ran there are answered by the remaining upstreams, or are suspected and cleared by
+# their trial. The crashes of a request that a caller retries take longer.
 SPREAD_SECONDS: Final = 0.5
-# A run that has put out events for this long, in seconds, was well: what ends it
-# afterwards is not held against its request. Upstreams that a request ended did so 0.04
-# to 0.13 s after they had begun it. With a second, engines that end all the time met
-# innocent items often enough to hold them back.
-SURVIVED_SECONDS: Final = 0.3
-# How long the first quarantine lasts, and the longest, in seconds. A wrong one costs
-# its callers two minutes; one that is right costs an upstream at each lapse, three
+# A run that has produced events for this long, in seconds, was healthy, and a later
+# crash is not attributed to its request. Upstreams that a request crashed did so 0.04
+# to 0.13 s after they had begun it. With a limit of 1 s, engines that crash all the
+# time cut off unrelated items often enough to have them held back.
+HEALTHY_RUN_SECONDS: Final = 0.3
+# How long the first quarantine lasts, and the longest, in seconds. A wrong quarantine
+# costs its callers two minutes. A justified one costs an upstream at each expiry: three
 # within the first half hour.
 FIRST_SECONDS: Final = 120.0
 LONGEST_SECONDS: Final = 86_400.0
-# A request that is not quarantined is forgotten after this time without a crash.
-FORGOTTEN_SECONDS: Final = 600.0
-# Requests that are remembered: 256 of 0.3 KB are told to each process with a change.
+# The history of a request that is not quarantined is dropped after this time without a
+# crash, in seconds.
+RETENTION_SECONDS: Final = 600.0
+# Requests with a stored history. The complete history is sent to each process at each
+# change: 256 requests of 0.3 KB.
 MAX_REQUESTS: Final = 256
-# Ended upstreams that are remembered of one request: the first and the latest.
+# Crashed upstreams stored of one request: the first and the latest ones.
 MAX_UPSTREAMS: Final = 8
 
 
 class Standing(enum.IntEnum):
-    """What a request is held to be; the worse, the higher."""
+    """Classification of a request; a higher value is a worse one."""
 
     CLEAR = 0
+    # Suspected. The label "doubtful" in log lines and metrics is made from this name.
     DOUBTFUL = 1
     QUARANTINED = 2
 
     @property
     def label(self) -> str:
-        """The name in log lines and metrics."""
+        """Name of the standing in log lines and metrics."""
         return self.name.lower()
 
 
 @codec.register("quarantine.crash")
 @attrs.frozen
 class Crash:
-    """An upstream that ended while it ran a request."""
+    """An upstream that crashed while it ran a request."""
 
-    # The same for all attempts at the same work.
+    # Identifies the request; the same for all attempts at the same work.
     fingerprint: str
-    # What the request asks for, as an operator reads it.
+    # What the request asks for, as shown to operators.
     subject: str
-    # The start of the upstream that ended.
+    # Incarnation of the upstream that crashed.
     upstream_id: str
 
 
 @codec.register("quarantine.evidence")
 @attrs.frozen
-class Evidence:
-    """What there is against one request since it was last answered."""
+class RequestHistory:
+    """Crash history of one request since it was last answered."""
 
     fingerprint: str
     subject: str
-    # When each upstream ended, by its id, in seconds of the book's clock.
+    # When each upstream crashed, by its id, in seconds of the history's clock.
     ended_at_by_id: dict[str, float] = attrs.field(factory=dict)
-    # When its quarantine ends; 0: it is not quarantined.
+    # When its quarantine expires; 0: it is not quarantined.
     until: float = 0.0
     # How often it was quarantined.
     n_quarantines: int = 0
-    # Upstreams that ended meanwhile without it; None: they do not matter.
+    # Upstreams that crashed meanwhile without running it (unrelated crashes); None: few
+    # requests run at an upstream, and unrelated crashes are not counted.
     beside_ids: tuple[str, ...] | None = None
-    # Those of `ended_at_by_id` that another request is held to have ended. They count
-    # for `N_REGARDLESS` alone: of several guilty ones that ran together each had its
-    # ends taken by the verdicts on the others, and went on past every bound.
+    # Those of `ended_at_by_id` whose crash is attributed to another request. They count
+    # only towards `UNCONDITIONAL_THRESHOLD`. If they did not count at all, several
+    # crash-causing requests that run together would have their crashes attributed to
+    # one another at each quarantine, and never reach any threshold.
     explained_ids: tuple[str, ...] = ()
 
     @property
     def last_at(self) -> float:
-        """When the last upstream ended."""
+        """Time of the latest crash; 0 if there is none."""
         return max(self.ended_at_by_id.values(), default=0.0)
 
-    def unexplained(self) -> dict[str, float]:
-        """Return when each upstream ended that no other request is held to end."""
-        explained = set(self.explained_ids)
+    def unattributed(self) -> dict[str, float]:
+        """Return the crashes that are not attributed to another request."""
+        attributed = set(self.explained_ids)
         return {
             upstream_id: ended_at
             for upstream_id, ended_at in self.ended_at_by_id.items()
-            if upstream_id not in explained
+            if upstream_id not in attributed
         }
 
     def standing(self) -> Standing:
-        """Return what the request is held to be."""
+        """Return the classification of the request."""
         if self.until:
             return Standing.QUARANTINED
-        ended = self.unexplained()
-        n_ended = len(ended)
-        is_repeated = _spread(ended) >= MOMENT_SECONDS
-        if n_ended >= N_FOR_QUARANTINE or (n_ended >= N_FOR_DOUBT and is_repeated):
+        crashes = self.unattributed()
+        n_crashed = len(crashes)
+        is_repeated = _spread(crashes) >= CONCURRENT_SECONDS
+        if n_crashed >= QUARANTINE_THRESHOLD or (
+            n_crashed >= SUSPECT_THRESHOLD and is_repeated
+        ):
             return Standing.DOUBTFUL
         return Standing.CLEAR
 
-    def noted(self, upstream_id: str, ended_at: float) -> "Evidence":
-        """Return the evidence with one more upstream."""
-        ended = _bounded({**self.ended_at_by_id, upstream_id: ended_at})
-        beside = self.beside_ids
-        if beside is not None:
-            beside = tuple(each for each in beside if each != upstream_id)
-        return attrs.evolve(self, ended_at_by_id=ended, beside_ids=beside)
+    def with_crash(self, upstream_id: str, ended_at: float) -> "RequestHistory":
+        """Return the history with one more crashed upstream."""
+        crashes = _bounded({**self.ended_at_by_id, upstream_id: ended_at})
+        unrelated = self.beside_ids
+        if unrelated is not None:
+            unrelated = tuple(each for each in unrelated if each != upstream_id)
+        return attrs.evolve(self, ended_at_by_id=crashes, beside_ids=unrelated)
 
-    def quarantined(self) -> "Evidence":
-        """Return the evidence with a quarantine, longer than the one before."""
+    def quarantined(self) -> "RequestHistory":
+        """Return the history with a quarantine, twice as long as the one before."""
         seconds = min(FIRST_SECONDS * 2**self.n_quarantines, LONGEST_SECONDS)
         return attrs.evolve(
             self, until=self.last_at + seconds, n_quarantines=self.n_quarantines + 1
         )
 
-    def is_enough(self) -> bool:
-        """Tell whether the request is to be quarantined."""
-        if self.is_beyond_bound():
+    def reaches_threshold(self) -> bool:
+        """Return whether the request is to be quarantined."""
+        if self.reaches_unconditional_threshold():
             return True
-        ended = self.unexplained()
-        if len(ended) < N_FOR_QUARANTINE or _spread(ended) < SPREAD_SECONDS:
+        crashes = self.unattributed()
+        if len(crashes) < QUARANTINE_THRESHOLD or _spread(crashes) < SPREAD_SECONDS:
             return False
-        return 2 * len(self.beside_ids or ()) <= len(ended)
-
-    def is_beyond_bound(self) -> bool:
-        """Tell whether it is to be quarantined whatever else goes on."""
-        ended = self.ended_at_by_id
-        return len(ended) >= N_REGARDLESS and _spread(ended) >= SPREAD_SECONDS
+        return 2 * len(self.beside_ids or ()) <= len(crashes)
+
+    def reaches_unconditional_threshold(self) -> bool:
+        """Return whether to quarantine it regardless of attribution."""
+        crashes = self.ended_at_by_id
+        return (
+            len(crashes) >= UNCONDITIONAL_THRESHOLD
+            and _spread(crashes) >= SPREAD_SECONDS
+        )
 
-    def noted_beside(self, upstream_id: str) -> "Evidence":
-        """Return the evidence after an upstream has ended without the request."""
-        beside = self.beside_ids
-        if beside is None or upstream_id in beside or len(beside) >= MAX_BESIDE:
+    def with_unrelated_crash(self, upstream_id: str) -> "RequestHistory":
+        """Return the history after a crash of an upstream that did not run it."""
+        unrelated = self.beside_ids
+        if (
+            unrelated is None
+            or upstream_id in unrelated
+            or len(unrelated) >= MAX_UNRELATED_CRASHES
+        ):
             return self
         if upstream_id in self.ended_at_by_id:
             return self
-        return attrs.evolve(self, beside_ids=(*beside, upstream_id))
-
-    def explained_by(self, upstream_ids: Collection[str]) -> "Evidence":
-        """Return the evidence once another request is held to have ended these."""
-        taken = self.unexplained().keys() & set(upstream_ids)
-        if not taken:
+        return attrs.evolve(self, beside_ids=(*unrelated, upstream_id))
+
+    def with_attributed_elsewhere(
+        self, upstream_ids: Collection[str]
+    ) -> "RequestHistory":
+        """Return the history once these crashes are attributed to another request."""
+        newly_attributed = self.unattributed().keys() & set(upstream_ids)
+        if not newly_attributed:
             return self
-        explained = self.ended_at_by_id.keys() & {*self.explained_ids, *taken}
-        given = attrs.evolve(self, explained_ids=tuple(sorted(explained)))
-        return given if given.is_enough() else attrs.evolve(given, until=0.0)
+        attributed = self.ended_at_by_id.keys() & {
+            *self.explained_ids,
+            *newly_attributed,
+        }
+        updated = attrs.evolve(self, explained_ids=tuple(sorted(attributed)))
+        return (
+            updated if updated.reaches_threshold() else attrs.evolve(updated, until=0.0)
+        )
 
-    def lapsed(self) -> "Evidence":
-        """Return the evidence after the quarantine: one more crash renews it."""
+    def expired(self) -> "RequestHistory":
+        """Return the history after the quarantine, which one more crash renews."""
         latest = sorted(self.ended_at_by_id.items(), key=lambda each: each[1])
-        kept = dict(latest[-N_FOR_QUARANTINE:])
+        kept = dict(latest[-QUARANTINE_THRESHOLD:])
         return attrs.evolve(self, until=0.0, ended_at_by_id=kept, explained_ids=())
 
 
 @codec.register("quarantine.book")
 @attrs.define
-class Book:
-    """The evidence against all requests, as one process or group has it."""
+class CrashHistory:
+    """Crash histories of all requests, as one process or group stores them."""
 
-    evidence_by_fingerprint: dict[str, Evidence] = attrs.field(factory=dict)
-    # Many requests run at an upstream: ends without a request speak for it.
+    evidence_by_fingerprint: dict[str, RequestHistory] = attrs.field(factory=dict)
+    # Whether many requests run at an upstream. If so, crashes that happen without a
+    # request count in its favour.
     is_crowded: bool = False
-    # When upstreams ended of late, by id; kept where it is crowded.
+    # When upstreams crashed within the last `UNRELATED_CRASH_SECONDS`, by id; stored
+    # only if `is_crowded`.
     ends_by_id: dict[str, float] = attrs.field(factory=dict)
 
     def is_empty(self) -> bool:
-        """Tell whether nothing is held against any request."""
+        """Return whether no request has a crash history."""
         return not self.evidence_by_fingerprint
 
     def standing(self, fingerprint: str) -> Standing:
-        """Return what a request is held to be."""
-        evidence = self.evidence_by_fingerprint.get(fingerprint)
-        return evidence.standing() if evidence is not None else Standing.CLEAR
-
-    def note(self, crash: Crash, ended_at: float) -> bool:
-        """Note that an upstream ended; return whether that was news."""
-        evidence = self.evidence_by_fingerprint.get(crash.fingerprint)
-        self.note_end(crash.upstream_id, ended_at)
-        if evidence is None:
-            beside = tuple(self.ends_by_id) if self.is_crowded else None
-            evidence = Evidence(crash.fingerprint, crash.subject, beside_ids=beside)
-        if crash.upstream_id in evidence.ended_at_by_id:
+        """Return the classification of a request."""
+        history = self.evidence_by_fingerprint.get(fingerprint)
+        return history.standing() if history is not None else Standing.CLEAR
+
+    def record(self, crash: Crash, ended_at: float) -> bool:
+        """Record the crash of an upstream; return False if it was known already."""
+        history = self.evidence_by_fingerprint.get(crash.fingerprint)
+        self.record_upstream_crash(crash.upstream_id, ended_at)
+        if history is None:
+            unrelated = tuple(self.ends_by_id) if self.is_crowded else None
+            history = RequestHistory(
+                crash.fingerprint, crash.subject, beside_ids=unrelated
+            )
+        if crash.upstream_id in history.ended_at_by_id:
             return False
-        noted = evidence.noted(crash.upstream_id, ended_at)
-        if not noted.until and self._is_explained(crash):
-            noted = noted.explained_by((crash.upstream_id,))
-        is_enough = not noted.until and noted.is_enough()
-        if is_enough and not self._is_like_another(noted, crash.upstream_id):
-            noted = noted.quarantined()
-            self._explain_by(noted)
-        self.evidence_by_fingerprint[crash.fingerprint] = noted
-        self._make_room()
+        updated = history.with_crash(crash.upstream_id, ended_at)
+        if not updated.until and self._is_attributed_elsewhere(crash):
+            updated = updated.with_attributed_elsewhere((crash.upstream_id,))
+        reaches_threshold = not updated.until and updated.reaches_threshold()
+        if reaches_threshold and not self._is_indistinguishable(
+            updated, crash.upstream_id
+        ):
+            updated = updated.quarantined()
+            self._attribute_crashes_to(updated)
+        self.evidence_by_fingerprint[crash.fingerprint] = updated
+        self._evict()
         return True
 
-    def note_end(self, upstream_id: str, ended_at: float) -> None:
-        """Note an end for all that were not there, which those that were undo."""
+    def record_upstream_crash(self, upstream_id: str, ended_at: float) -> None:
+        """Record a crash as unrelated to all known requests.
+
+        Requests that were running there take it back: `record` turns it into a crash of
+        theirs.
+        """
         if not self.is_crowded or upstream_id in self.ends_by_id:
             return
-        since = ended_at - BESIDE_SECONDS
+        since = ended_at - UNRELATED_CRASH_SECONDS
         self.ends_by_id = {
             each: at for each, at in self.ends_by_id.items() if at >= since
         }
         self.ends_by_id[upstream_id] = ended_at
         self.evidence_by_fingerprint = {
-            fingerprint: each.noted_beside(upstream_id)
+            fingerprint: each.with_unrelated_crash(upstream_id)
             for fingerprint, each in self.evidence_by_fingerprint.items()
         }
 
-    def _is_explained(self, crash: Crash) -> bool:
-        """Tell whether another request is held to have ended the upstream.
+    def _is_attributed_elsewhere(self, crash: Crash) -> bool:
+        """Return whether the crash is attributed to another, quarantined request.
 
-        All that ran there is cut off at once, and told of in any order: whoever comes
-        after the verdict would keep an end that was taken from those before.
+        All requests that ran at the upstream are cut off at once, and their crashes are
+        recorded in any order. Without this check, a request recorded after the culprit
+        was quarantined would keep a crash that was attributed away from the requests
+        recorded before.
         """
         return any(
-            each.until and crash.upstream_id in each.unexplained()
+            each.until and crash.upstream_id in each.unattributed()
             for each in self.evidence_by_fingerprint.values()
             if each.fingerprint != crash.fingerprint
         )
 
-    def _is_like_another(self, evidence: Evidence, newest_id: str) -> bool:
-        """Tell whether another request was there at all ends but the newest.
+    def _is_indistinguishable(self, history: RequestHistory, newest_id: str) -> bool:
+        """Return whether another request ran at all its crashes but the newest.
 
-        Where many run together, the two cannot be told apart yet: the newest end may
-        have nothing to do with either. Sent to different engines, one is cleared.
+        Where many requests run at an upstream, either of the two may be the culprit, as
+        the newest crash may be unrelated to both. The quarantine is deferred: sent to
+        different engines, the one that is not the culprit is cleared.
         """
-        if not self.is_crowded or evidence.is_beyond_bound():
+        if not self.is_crowded or history.reaches_unconditional_threshold():
             return False
-        before = evidence.unexplained().keys() - {newest_id}
+        before = history.unattributed().keys() - {newest_id}
         return any(
-            before <= each.unexplained().keys()
+            before <= each.unattributed().keys()
             for each in self.evidence_by_fingerprint.values()
-            if each.fingerprint != evidence.fingerprint
+            if each.fingerprint != history.fingerprint
         )
 
-    def _explain_by(self, guilty: Evidence) -> None:
-        """Hold the ends that a request has brought about against nobody beside it.
+    def _attribute_crashes_to(self, culprit: RequestHistory) -> None:
+        """Attribute the crashes of a quarantined request to it alone.
 
-        Whatever was cut off with it twice is doubtful by no fault of its own; the next
-        crash that it meets would have it quarantined as well.
+        A request that was cut off together with the culprit twice is suspected although
+        it is unrelated, and its next crash, whatever caused it, would have it
+        quarantined as well.
         """
         for fingerprint, each in list(self.evidence_by_fingerprint.items()):
-            if fingerprint == guilty.fingerprint:
+            if fingerprint == culprit.fingerprint:
                 continue
-            # Kept also if nothing else is held against it: dropped, one that is guilty
-            # as well would be counted from nothing each time.
-            left = each.explained_by(guilty.ended_at_by_id.keys())
-            self.evidence_by_fingerprint[fingerprint] = left
+            # The history is stored even if all its crashes are attributed to others.
+            # If it were dropped, the count of a request that causes crashes as well
+            # would start from zero at each quarantine of another one.
+            updated = each.with_attributed_elsewhere(culprit.ended_at_by_id.keys())
+            self.evidence_by_fingerprint[fingerprint] = updated
 
     def clear(self, fingerprint: str) -> bool:
-        """Forget a request that was answered; return whether anything was known."""
+        """Drop the history of an answered request; return whether it had one."""
         return self.evidence_by_fingerprint.pop(fingerprint, None) is not None
 
     def is_due(self, now: float) -> bool:
-        """Tell whether `lapse` would change anything."""
+        """Return whether `expire` would change anything."""
         known = self.evidence_by_fingerprint.values()
-        return any(_end_of(each) <= now for each in known)
+        return any(_expires_at(each) <= now for each in known)
 
-    def lapse(self, now: float) -> None:
-        """End quarantines whose time is up, and forget what is old."""
-        for fingerprint, evidence in list(self.evidence_by_fingerprint.items()):
-            if _end_of(evidence) > now:
+    def expire(self, now: float) -> None:
+        """End expired quarantines and drop histories past their retention time."""
+        for fingerprint, history in list(self.evidence_by_fingerprint.items()):
+            if _expires_at(history) > now:
                 continue
-            if evidence.until:
-                self.evidence_by_fingerprint[fingerprint] = evidence.lapsed()
+            if history.until:
+                self.evidence_by_fingerprint[fingerprint] = history.expired()
             else:
                 del self.evidence_by_fingerprint[fingerprint]
 
-    def ended_ids(self) -> frozenset[str]:
-        """Return the starts of upstreams that are known to have ended."""
+    def crashed_ids(self) -> frozenset[str]:
+        """Return the upstream incarnations that are known to have crashed."""
         known = self.evidence_by_fingerprint.values()
         return frozenset(name for each in known for name in each.ended_at_by_id)
 
-    def _make_room(self) -> None:
-        """Forget the request with the least against it, the oldest of these.
+    def _evict(self) -> None:
+        """Drop the history with the fewest crashes if there are too many histories.
 
-        Whoever sends many different requests that end upstreams cannot have one that is
-        quarantined forgotten, but for three upstreams each.
+        Of several, the one with the oldest latest crash is dropped, and quarantined
+        requests last of all. A caller that sends many different crash-causing requests
+        can therefore evict a quarantined one only with others that are quarantined
+        themselves, at three upstreams each.
         """
         if len(self.evidence_by_fingerprint) <= MAX_REQUESTS:
             return
         least = min(
             self.evidence_by_fingerprint.values(),
-            # Counted with what others explain, bystanders would fill the book for good:
-            # who is new has the least, and would be forgotten with each end.
+            # Crashes that are attributed to other requests are compared only after the
+            # unattributed ones. If all counted alike, unrelated requests could fill the
+            # history permanently: a new request has the fewest crashes, and would be
+            # dropped after each crash.
             key=lambda each: (
                 bool(each.until),
-                len(each.unexplained()),
+                len(each.unattributed()),
                 len(each.ended_at_by_id),
                 each.last_at,
             ),
@@ -343,7 +389,7 @@
 
 
 def _bounded(ended_at_by_id: dict[str, float]) -> dict[str, float]:
-    """Return the first end and the latest ones: how far they are apart is kept."""
+    """Return the first crash and the latest ones, so that the spread is preserved."""
     if len(ended_at_by_id) <= MAX_UPSTREAMS:
         return ended_at_by_id
     in_order = sorted(ended_at_by_id.items(), key=lambda each: each[1])
@@ -351,15 +397,16 @@
 
 
 def _spread(ended_at_by_id: dict[str, float]) -> float:
-    """Return the time from the first end to the last, in seconds."""
+    """Return the time from the first crash to the last one, in seconds."""
     times = ended_at_by_id.values()
     return max(times) - min(times) if times else 0.0
 
 
-def _end_of(evidence: Evidence) -> float:
-    """Return when something becomes of the evidence by time alone."""
-    if evidence.until:
-        return evidence.until
-    # Kept while a trial may follow a quarantine, so that the next one is longer.
-    seconds = LONGEST_SECONDS if evidence.n_quarantines else FORGOTTEN_SECONDS
-    return evidence.last_at + seconds
+def _expires_at(history: RequestHistory) -> float:
+    """Return when the quarantine expires or, without one, the history is dropped."""
+    if history.until:
+        return history.until
+    # Kept longer after a quarantine: if the trial crashes its upstream, the next
+    # quarantine has to be longer.
+    seconds = LONGEST_SECONDS if history.n_quarantines else RETENTION_SECONDS
+    return history.last_at + seconds
--- a/bilberrydrum/relay/crash_watch.py
+++ b/bilberrydrum/relay/crash_watch.py
@@ -1,8 +1,9 @@
-"""What a sender of requests knows of those that end upstreams, and tells of them.
+"""Detection and reporting of crash-causing requests by a process that sends requests.
 
-After each run that broke off it finds out whether the upstream has ended, holds that
-against the request until it is answered, and reports it to the group that keeps the
-record for all: the control group, or the daemon's state group.
+After each run that broke off, the process probes whether the upstream has crashed,
+counts the crash against the request until the request is answered, and reports it to
+the replicated group that stores the crash history for all processes: the control group,
+or the daemon's state group.
 """
 
 from collections.abc import Callable
@@ -17,25 +18,25 @@
 from bilberrydrum import clock, counters, line_limit, quarantine
 from bilberrydrum.fleet import messages
 from bilberrydrum.relay import crash_reports
-from bilberrydrum.requests import attempts, examination
+from bilberrydrum.requests import attempts, crash_probe
 
-# A request's target in a line, at most; callers write what they like.
+# Maximum length of a request's target in a log line; callers may send any length.
 _SUBJECT_CHARACTERS: Final = 200
-# Time for the control group to take a report, and the pause before the next try.
+# Timeout for the control group to acknowledge a report, and the delay before a retry.
 _REPORT_SECONDS: Final = 2.0
 _PAUSE_SECONDS: Final = 0.3
-# Time for the answer whether a doubtful request may be tried. Its caller waits.
+# Timeout of the question whether a suspected request may be tried. Its caller waits.
 _TRIAL_SECONDS: Final = 0.3
 
 
 class View(Protocol):
-    """The process's copy of what the group holds against requests.
+    """The process's copy of the group's crash history.
 
-    Kept by `fleet.subscriber`, and by `requests.crash_record` in the daemon.
+    Updated by `fleet.subscriber`, and by `requests.crash_record` in the daemon.
     """
 
-    crashes: quarantine.Book
-    # How far it is; rises with each change.
+    crashes: quarantine.CrashHistory
+    # Index of the last change that the copy contains.
     crashes_index: int
 
     def watch(self, callback: Callable[[], None]) -> None:
@@ -46,54 +47,57 @@
 
 
 class Calls(Protocol):
-    """The way to whoever leads the group."""
+    """Calls to the group's leader."""
 
     def call(self, message: object, timeout: float) -> result.Result[Any, Any]:
         """Return the answer to `message`, within `timeout` seconds."""
 
 
 def shortened(subject: str) -> str:
-    """Return what a request asks for, short enough for a line."""
+    """Return what a request asks for, short enough for a log line."""
     return subject[:_SUBJECT_CHARACTERS]
 
 
 def subject_of(method: str, host: str, target: str) -> str:
-    """Return what a request asks for, as an operator reads it."""
+    """Return what a request asks for, as shown to operators."""
     return shortened(f"{method} {host}{target}")
 
 
 @attrs.frozen
 class BrokenRun:
-    """A run that ended without an answer, by no wish of its sender."""
+    """A run that ended without an answer and was not cancelled by its sender."""
 
     # Id of the caller's attempt.
     request_id: str
-    # The same for all attempts at the same work.
+    # Identifies the request; the same for all attempts at the same work.
     fingerprint: str
-    # What it asks for, as an operator reads it.
+    # What the request asks for, as shown to operators.
     subject: str
     upstream: attempts.Target
     # Time from the request's sending to the break, in seconds.
     seconds: float
-    # It had been well for so long that its upstream's end is not held against it.
-    was_well: bool = False
+    # Whether it had produced events for so long that a crash of its upstream is not
+    # attributed to the request (see `quarantine.HEALTHY_RUN_SECONDS`).
+    was_healthy: bool = False
 
 
 class CrashWatch:
-    """One process's part.
+    """Crash detection and reporting of one process.
 
     Parameters
     ----------
     view : View
-        The process's copy of what the group holds against requests.
+        The process's copy of the group's crash history.
     calls : Calls
-        The way to the group's leader.
+        Calls to the group's leader.
     n_to_report : int
         See `crash_reports.CrashReports`.
     is_crowded : bool
-        Many requests run at an upstream (see `quarantine`), and only this process sends
-        them. The group could not tell who was elsewhere, so verdicts alone are
-        reported: whoever sends them next would else learn each anew, by six ends more.
+        Whether many requests run at an upstream (see `quarantine`), and only this
+        process sends them. The group could not know which requests were running
+        elsewhere, so a request is reported only once it is quarantined here. If it were
+        not reported then, the next process to send these requests would have to detect
+        each crash-causing one again, at the cost of six more crashes.
     """
 
     def __init__(
@@ -105,90 +109,92 @@
     ) -> None:
         self._view = view
         self._calls = calls
-        # What this process has seen and the group is not known to have.
-        self._own = quarantine.Book(is_crowded=is_crowded)
+        # Crashes detected here that the group is not known to have stored.
+        self._own = quarantine.CrashHistory(is_crowded=is_crowded)
         self._reports = crash_reports.CrashReports(n_to_report)
-        # Index at which the group has what was reported, by fingerprint.
+        # Index of the group's history that contains what was reported, by fingerprint.
         self._index_by_fingerprint: dict[str, int] = {}
         self._wake = eventlet.event.Event()
         self._dropped_lines = line_limit.LineLimit()
         self._task: Any = None
 
     def start(self) -> None:
-        """Start to report."""
-        self._view.watch(self._on_news)
+        """Start the reporting task."""
+        self._view.watch(self._on_view_change)
         self._task = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop to report."""
+        """Stop the reporting task."""
         if self._task is not None:
-            self._view.unwatch(self._on_news)
+            self._view.unwatch(self._on_view_change)
             self._task.kill()
             self._task = None
 
-    # What requests are held to be
+    # Classification of requests
 
     def standing(self, fingerprint: Callable[[], str]) -> quarantine.Standing:
-        """Return what a request is held to be.
+        """Return the classification of a request.
 
-        `fingerprint` is asked only if something is held against any request: a body
-        may be long, and nearly always nothing is.
+        `fingerprint` is called only if any request has a crash history. This is rare,
+        and the fingerprint of a long body takes time to compute.
         """
-        if self._has_no_suspects():
+        if self._is_history_empty():
             return quarantine.Standing.CLEAR
         name = fingerprint()
         return max(self._own.standing(name), self._view.crashes.standing(name))
 
-    def ended_ids(self) -> frozenset[str]:
-        """Return starts of upstreams that are known to have ended."""
-        return self._own.ended_ids() | self._view.crashes.ended_ids()
+    def crashed_ids(self) -> frozenset[str]:
+        """Return the upstream incarnations that are known to have crashed."""
+        return self._own.crashed_ids() | self._view.crashes.crashed_ids()
 
     def may_try(self, fingerprint: str) -> bool:
-        """Tell whether a doubtful request may be sent now; the leader knows of others.
+        """Return whether a suspected request may be sent now.
 
-        Without the leader it may not: another copy may be under way elsewhere.
+        The leader knows whether another copy of the request is being tried elsewhere.
+        If the leader does not answer, one may be, and the request is not sent.
         """
         asked = messages.AskTrial(fingerprint)
         answer = self._calls.call(asked, _TRIAL_SECONDS)
         return isinstance(answer, result.Ok) and bool(answer.ok_value.is_granted)
 
-    def _has_no_suspects(self) -> bool:
+    def _is_history_empty(self) -> bool:
         now = clock.now()
         if self._own.is_due(now):
-            self._own.lapse(now)
+            self._own.expire(now)
         return self._own.is_empty() and self._view.crashes.is_empty()
 
-    # What becomes of runs
+    # Outcomes of runs
 
-    def run_broke(self, run: BrokenRun) -> None:
-        """Note a run that broke off.
+    def record_broken_run(self, run: BrokenRun) -> None:
+        """Record a run that broke off.
 
-        Blocks for a connection if something is held against the request already: what
-        becomes of it next depends on the outcome.
+        Blocks until the upstream is probed if the request has a crash history, as the
+        probe's result decides whether the request may be sent again.
         """
         if self._is_suspect(run.fingerprint):
             self._examine(run)
         else:
             eventlet.spawn_n(self._examine, run)
 
-    def was_answered(self, fingerprint: Callable[[], str]) -> None:
-        """Note that a request came to an end, or was well for long."""
-        if self._has_no_suspects():
+    def record_answer(self, fingerprint: Callable[[], str]) -> None:
+        """Record that a request was answered, or that its run was healthy."""
+        if self._is_history_empty():
             return
         name = fingerprint()
         self._own.clear(name)
         if self._may_be_known(name):
             self._index_by_fingerprint.pop(name, None)
             self._reports.clear(name)
-            self._look()
+            self._wake_reporter()
         else:
             self._reports.forget(name)
 
     def _may_be_known(self, fingerprint: str) -> bool:
-        """Tell whether the group may hold something against a request.
+        """Return whether the group may have a crash history of a request.
 
-        It may have what the copy here doesn't show yet: an answer that nobody tells it
-        of would leave the crashes before it to count with later ones.
+        The group may have stored crashes that this process's copy does not contain yet.
+        If the answer were not reported to it then, the crashes before the answer would
+        be counted together with later ones.
         """
         return (
             fingerprint in self._view.crashes.evidence_by_fingerprint
@@ -202,12 +208,12 @@
 
     def _examine(self, run: BrokenRun) -> None:
         ended_at = clock.now()
-        has_ended = examination.has_ended(run.upstream.address)
-        counters.BROKEN_RUNS.labels("ended" if has_ended else "stands").inc()
-        if has_ended and run.was_well:
-            self._own.note_end(run.upstream.upstream_id, ended_at)
-        elif has_ended:
-            self._hold_against(run, ended_at)
+        has_crashed = crash_probe.has_crashed(run.upstream.address)
+        counters.BROKEN_RUNS.labels("ended" if has_crashed else "stands").inc()
+        if has_crashed and run.was_healthy:
+            self._own.record_upstream_crash(run.upstream.upstream_id, ended_at)
+        elif has_crashed:
+            self._record_crash(run, ended_at)
         eliot.log_message(
             message_type="crashes:run-broken",
             request_id=run.request_id,
@@ -216,41 +222,41 @@
             upstream_id=run.upstream.upstream_id,
             address=run.upstream.address,
             seconds=round(run.seconds, 3),
-            has_ended=has_ended,
-            was_well=run.was_well,
+            has_crashed=has_crashed,
+            was_healthy=run.was_healthy,
             standing=self.standing(lambda: run.fingerprint).label,
             crashes_index=self._view.crashes_index,
         )
 
-    def _hold_against(self, run: BrokenRun, ended_at: float) -> None:
+    def _record_crash(self, run: BrokenRun, ended_at: float) -> None:
         crash = quarantine.Crash(run.fingerprint, run.subject, run.upstream.upstream_id)
-        if not self._own.note(crash, ended_at):
+        if not self._own.record(crash, ended_at):
             return
-        to_report = self._to_report(crash, ended_at)
+        to_report = self._crashes_to_report(crash, ended_at)
         if not to_report:
             return
         self._index_by_fingerprint.pop(run.fingerprint, None)
         for each, each_ended_at in to_report:
-            self._note_for_report(each, each_ended_at)
-        self._look()
+            self._queue_report(each, each_ended_at)
+        self._wake_reporter()
 
-    def _to_report(
+    def _crashes_to_report(
         self, crash: quarantine.Crash, ended_at: float
     ) -> list[tuple[quarantine.Crash, float]]:
-        """Return the crashes that the group is to hear of now that `crash` is known."""
+        """Return the crashes to report to the group after recording `crash`."""
         is_known = crash.fingerprint in self._view.crashes.evidence_by_fingerprint
         if is_known or not self._own.is_crowded:
             return [(crash, ended_at)]
-        evidence = self._own.evidence_by_fingerprint[crash.fingerprint]
-        if not evidence.until:
+        history = self._own.evidence_by_fingerprint[crash.fingerprint]
+        if not history.until:
             return []
         return [
             (attrs.evolve(crash, upstream_id=upstream_id), at)
-            for upstream_id, at in evidence.ended_at_by_id.items()
+            for upstream_id, at in history.ended_at_by_id.items()
         ]
 
-    def _note_for_report(self, crash: quarantine.Crash, ended_at: float) -> None:
-        if self._reports.note(crash, ended_at):
+    def _queue_report(self, crash: quarantine.Crash, ended_at: float) -> None:
+        if self._reports.record(crash, ended_at):
             return
         n_before = self._dropped_lines.admit(ended_at)
         if n_before is not None:
@@ -260,16 +266,18 @@
 
     # Reports
 
-    def _on_news(self) -> None:
+    def _on_view_change(self) -> None:
         index = self._view.crashes_index
         for fingerprint, known_at in list(self._index_by_fingerprint.items()):
             if known_at <= index:
-                # The group has it: what it is held to be is the group's to say, which
-                # an operator may have told otherwise.
+                # The group has stored the reported crashes. From now on the replicated
+                # group's history is authoritative, and an operator can override it by
+                # lifting a quarantine. If the local crashes were kept, they would still
+                # count here after that.
                 del self._index_by_fingerprint[fingerprint]
                 self._own.clear(fingerprint)
 
-    def _look(self) -> None:
+    def _wake_reporter(self) -> None:
         if not self._wake.ready():
             self._wake.send(None)
 
@@ -277,30 +285,31 @@
         while True:
             self._wait()
             try:
-                is_taken = self._report()
+                is_acknowledged = self._report()
             except Exception:
-                # Were this task to end, nobody would hear of crashes seen here.
+                # If this task ended, crashes detected here would never be reported.
                 eliot.write_traceback()
-                is_taken = False
-            if not is_taken:
+                is_acknowledged = False
+            if not is_acknowledged:
                 clock.sleep(_PAUSE_SECONDS)
 
     def _report(self) -> bool:
-        """Report what is due; return False if the group did not take it."""
+        """Report what is due; return False if the group did not acknowledge it."""
         report = self._reports.due(clock.now(), self._view.crashes)
         if not (report.reports or report.cleared):
             return True
         answer = self._calls.call(report, _REPORT_SECONDS)
         if not isinstance(answer, result.Ok):
             return False
-        self._reports.reported(report)
+        self._reports.acknowledge(report)
         index = answer.ok_value.crashes_index
         for each in report.reports:
-            # One that came meanwhile is not in this report: taken for known, it would
-            # count nowhere until the next.
-            if not self._reports.waits(each.crash.fingerprint):
+            # A crash recorded while the report was sent is not part of it. If the
+            # request were taken for known to the group, the local history would be
+            # dropped, and that crash would count nowhere until the next report.
+            if not self._reports.is_pending(each.crash.fingerprint):
                 self._index_by_fingerprint[each.crash.fingerprint] = index
-        self._on_news()
+        self._on_view_change()
         return True
 
     def _wait(self) -> None:
--- a/bilberrydrum/relay/relay.py
+++ b/bilberrydrum/relay/relay.py
@@ -18,7 +18,7 @@
 from bilberrydrum.fleet import model as fleet_model
 from bilberrydrum.fleet import policy, subscriber
 from bilberrydrum.relay import balancing, courses, crash_watch, hedging, model, trial
-from bilberrydrum.requests import attempts, examination, outgoing_requests
+from bilberrydrum.requests import attempts, crash_probe, outgoing_requests
 from bilberrydrum.requests import model as request_model
 from bilberrydrum.usage import meter as usage_meter
 
@@ -307,7 +307,7 @@
         self._balancer.succeeded(attempt.upstream_id, head, clock.now())
         if self._hedging is not None:
             self._hedging.answered(course.service, attempt.seconds())
-        self._crashes.was_answered(course.fingerprint)
+        self._crashes.record_answer(course.fingerprint)
         if answer.status == _FAILED_STATUS:
             course.n_failures += 1
         if answer.status >= 500 and course.may_run_again and course.may_go_on():
@@ -345,9 +345,9 @@
             self._balancer.failed(attempt.upstream_id, clock.now())
         if error.reason in courses.FINAL_REASONS:
             course.stop()
-        if error.may_have_run and error.reason in examination.BROKEN:
+        if error.may_have_run and error.reason in crash_probe.BROKEN_REASONS:
             broken = course.broken_run(attempt.upstream, attempt.seconds())
-            self._crashes.run_broke(broken)
+            self._crashes.record_broken_run(broken)
         course.note_failure(attempt.upstream_id, error.reason, self._view)
         return None
 
--- a/bilberrydrum/relay/streams.py
+++ b/bilberrydrum/relay/streams.py
@@ -24,7 +24,7 @@
 from bilberrydrum.fleet import model as fleet_model
 from bilberrydrum.fleet import policy, subscriber
 from bilberrydrum.relay import balancing, courses, crash_watch, model, trial
-from bilberrydrum.requests import attempts, examination, outgoing_requests
+from bilberrydrum.requests import attempts, crash_probe, outgoing_requests
 from bilberrydrum.usage import meter as usage_meter
 
 _OK: Final = 200
@@ -67,7 +67,7 @@
         """Tell whether the last attempt was well for so long that it is cleared."""
         if self.first_event_at is None:
             return False
-        return clock.now() - self.first_event_at >= quarantine.SURVIVED_SECONDS
+        return clock.now() - self.first_event_at >= quarantine.HEALTHY_RUN_SECONDS
 
 
 class StreamRelay:
@@ -264,7 +264,7 @@
             raise event_stream.EventError("ended without an event")
         head = self._protocol.read_head(source.answer.headers)
         self._balancer.succeeded(source.upstream.upstream_id, head, clock.now())
-        self._crashes.was_answered(course.fingerprint)
+        self._crashes.record_answer(course.fingerprint)
 
     def _let_go(self, source: _Source) -> None:
         """Close the connection, which ends the work at the upstream."""
@@ -292,10 +292,10 @@
         reason: reasons.Reason,
     ) -> None:
         if course.has_survived():
-            self._crashes.was_answered(course.fingerprint)
-        elif reason in examination.BROKEN:
+            self._crashes.record_answer(course.fingerprint)
+        elif reason in crash_probe.BROKEN_REASONS:
             seconds = clock.now() - course.tried_at
-            self._crashes.run_broke(course.broken_run(upstream, seconds))
+            self._crashes.record_broken_run(course.broken_run(upstream, seconds))
 
     def _failed(
         self,
--- a/bilberrydrum/relay/trial.py
+++ b/bilberrydrum/relay/trial.py
@@ -1,8 +1,9 @@
-"""Whether a request that may end upstreams is sent to one more.
+"""Admission of requests that may crash their upstreams.
 
-Answers the load in which a caller sends such a request again and again, through any
-gateway: tried as often as others, it takes the whole service down each time, and all
-that run beside it. Nearly all requests have nothing held against them and pass at once.
+A caller may retry a crash-causing request many times, through any gateway. If it were
+attempted as often as other requests, each retry would take down the complete service
+and all requests that run concurrently. Requests without a crash history, which nearly
+all requests are, pass without further checks.
 """
 
 import eliot
@@ -18,13 +19,13 @@
     balancer: balancing.Balancer,
     upstreams: list[fleet_model.FleetUpstream],
 ) -> reasons.Reason | None:
-    """Return why a request is not to be sent to any of `upstreams`; None: it may."""
+    """Return why a request must not be sent to `upstreams`, or None if it may be."""
     standing = crashes.standing(course.fingerprint)
     if standing is quarantine.Standing.CLEAR:
         return None
     refusal = _find_refusal(standing, course, crashes, balancer, upstreams)
     eliot.log_message(
-        message_type="crashes:judged",
+        message_type="crashes:checked",
         request_id=course.inbound.request_id,
         fingerprint=course.fingerprint(),
         standing=standing.label,
@@ -44,12 +45,12 @@
     if standing is quarantine.Standing.QUARANTINED:
         return reasons.Reason.REQUEST_QUARANTINED
     if course.n_run:
-        # One upstream for each attempt of the caller.
+        # A suspected request may run at one upstream for each attempt of the caller.
         return reasons.Reason.REQUEST_DOUBTFUL
     if course.is_trial:
-        # The upstream before had no place for it.
+        # The trial is granted already; the previous upstream had no capacity for it.
         return None
-    if not balancer.has_spare(upstreams, crashes.ended_ids(), clock.now()):
+    if not balancer.has_spare(upstreams, crashes.crashed_ids(), clock.now()):
         return reasons.Reason.REQUEST_DOUBTFUL
     if not crashes.may_try(course.fingerprint()):
         return reasons.Reason.REQUEST_DOUBTFUL
--- a/bilberrydrum/requests/crash_memory.py
+++ b/bilberrydrum/requests/crash_memory.py
@@ -1,8 +1,8 @@
-"""What a gateway of the daemon knows of calls that end upstreams.
+"""Quarantine of crash-causing calls at a gateway of the daemon.
 
-The decision is in `quarantine`; `relay.crash_watch` finds out and reports, as for
-requests that are passed on. Here a call has one upstream while it is doubtful; it is
-not asked whether another copy is under way.
+The decisions are made in `quarantine`, and `relay.crash_watch` detects and reports
+crashes, as for relayed requests. A suspected call is tried at one upstream here, but
+the gateway does not check whether another copy is being tried elsewhere.
 """
 
 from typing import Final
@@ -11,35 +11,40 @@
 
 from bilberrydrum import clock, quarantine, reasons
 from bilberrydrum.relay import crash_watch
-from bilberrydrum.requests import attempts, calls, crash_record, examination
+from bilberrydrum.requests import attempts, calls, crash_probe, crash_record
 from bilberrydrum.upstreams import model as upstream_model
 
-# No process ends, starts again, announces itself and ends in less time, in seconds.
+# A process needs at least this time to crash, restart, announce itself and crash again,
+# in seconds.
 _RESTART_SECONDS: Final = 1.0
 
 
 @attrs.frozen
-class _Start:
-    """One start of an upstream; upstreams keep their names over their starts."""
+class _Incarnation:
+    """An upstream incarnation, estimated from the time.
+
+    Upstreams of the daemon keep their ids over restarts, so the id alone would make
+    several crashes look like one.
+    """
 
     upstream_id: str
     address: str
 
     @classmethod
-    def of(cls, upstream: upstream_model.Upstream, now: float) -> "_Start":
+    def of(cls, upstream: upstream_model.Upstream, now: float) -> "_Incarnation":
         number = int(now / _RESTART_SECONDS)
         return cls(f"{upstream.upstream_id}/{number}", upstream.address)
 
 
 class CrashMemory:
-    """The memory of one gateway."""
+    """Crash detection and quarantine of one gateway."""
 
     def __init__(self, record: crash_record.CrashRecord) -> None:
         self._record = record
         self._watch = crash_watch.CrashWatch(record, record)
 
     def start(self) -> None:
-        """Start to follow the record, and to report."""
+        """Start to follow the record and to report crashes."""
         self._record.start()
         self._watch.start()
 
@@ -49,46 +54,46 @@
         self._record.stop()
 
     def find_refusal(self, call: calls.Call, has_run: bool) -> reasons.Reason | None:
-        """Return why a call is not to be sent to one more upstream; None: it may.
+        """Return why a call must not be sent to another upstream, or None if it may be.
 
-        `has_run` tells that an upstream may have run it already.
+        `has_run` says whether an upstream may have run the call already.
         """
         standing = self._watch.standing(lambda: calls.fingerprint_of(call))
         if standing is quarantine.Standing.QUARANTINED:
             return reasons.Reason.REQUEST_QUARANTINED
         if standing is quarantine.Standing.DOUBTFUL and has_run:
-            # One upstream for each call.
+            # A suspected call may run at one upstream only.
             return reasons.Reason.REQUEST_DOUBTFUL
         return None
 
-    def run_broke(
+    def record_broken_run(
         self,
         call: calls.Call,
         upstream: upstream_model.Upstream,
         error: attempts.AttemptError,
         seconds: float,
     ) -> None:
-        """Note an attempt that gave no whole answer after `seconds`."""
-        if not error.may_have_run or error.reason not in examination.BROKEN:
+        """Record an attempt that gave no complete answer after `seconds`."""
+        if not error.may_have_run or error.reason not in crash_probe.BROKEN_REASONS:
             return
-        self._watch.run_broke(
+        self._watch.record_broken_run(
             crash_watch.BrokenRun(
                 call.request_id,
                 calls.fingerprint_of(call),
                 crash_watch.shortened(calls.subject_of(call)),
-                _Start.of(upstream, clock.now()),
+                _Incarnation.of(upstream, clock.now()),
                 seconds,
             )
         )
 
-    def was_answered(self, call: calls.Call) -> None:
-        """Note that a call came to an end, or was well for long."""
-        self._watch.was_answered(lambda: calls.fingerprint_of(call))
+    def record_answer(self, call: calls.Call) -> None:
+        """Record that a call was answered, or that its run was healthy."""
+        self._watch.record_answer(lambda: calls.fingerprint_of(call))
 
-    def book(self) -> quarantine.Book:
-        """Return all that is held against calls, for operators."""
+    def history(self) -> quarantine.CrashHistory:
+        """Return the crash history of all calls, for operators."""
         return self._record.crashes
 
     def lift(self, fingerprint: str) -> None:
-        """Forget what is held against a call, as an operator wishes."""
+        """Drop the crash history of a call on behalf of an operator."""
         self._record.lift(fingerprint)
--- a/bilberrydrum/requests/crash_record.py
+++ b/bilberrydrum/requests/crash_record.py
@@ -1,8 +1,9 @@
-"""Where a gateway of the daemon keeps what it holds against calls.
+"""Storage of the daemon's crash history.
 
-With a state group, the group keeps it for all gateways: grants of the bundle's lease
-tell how far the record is, and a gateway that is behind reads it. Without one, as in
-tests of a single gateway, it is the gateway's own.
+With a state group, the group stores the history for all gateways. Grants of the
+bundle's lease carry the index of the history, and a gateway whose copy is older reads
+it. Without a state group, as in tests of a single gateway, the gateway stores the
+history itself.
 """
 
 import abc
@@ -19,42 +20,43 @@
 from bilberrydrum.fleet import crash_commands, messages
 from bilberrydrum.state import client, machine
 
-# How often it is looked whether the record has changed; grants come twice a second.
-_LOOK_SECONDS: Final = 0.1
-# Time for the state group to answer.
+# Interval between checks whether the record has changed, in seconds. Grants arrive
+# twice a second.
+_POLL_SECONDS: Final = 0.1
+# Timeout of calls to the state group, in seconds.
 _CALL_SECONDS: Final = 2.0
 
 
 class CrashRecord(Protocol):
-    """What `relay.crash_watch` asks of its surroundings, and what operators do."""
+    """A crash history as `relay.crash_watch` and operators use it."""
 
-    crashes: quarantine.Book
+    crashes: quarantine.CrashHistory
     crashes_index: int
 
     def start(self) -> None:
         """Start to follow the record."""
 
     def stop(self) -> None:
-        """Stop to follow it."""
+        """Stop following the record."""
 
     def watch(self, callback: Callable[[], None]) -> None:
         """Call `callback()` after each change; it must not block."""
 
     def unwatch(self, callback: Callable[[], None]) -> None:
-        """Call `callback` no more."""
+        """Stop calling `callback`."""
 
     def call(self, message: object, timeout: float) -> result.Result[Any, Any]:
-        """Take a report."""
+        """Apply a report to the history."""
 
     def lift(self, fingerprint: str) -> None:
-        """Forget what is held against one call, as an operator wishes."""
+        """Drop the crash history of one call on behalf of an operator."""
 
 
-class _Followed(abc.ABC):
-    """What is common to both records."""
+class _WatchedRecord(abc.ABC):
+    """Base of both records: a copy of the history, and callbacks on its changes."""
 
     def __init__(self) -> None:
-        self.crashes = quarantine.Book()
+        self.crashes = quarantine.CrashHistory()
         self.crashes_index = 0
         self._watchers: list[Callable[[], None]] = []
 
@@ -63,11 +65,11 @@
         self._watchers.append(callback)
 
     def unwatch(self, callback: Callable[[], None]) -> None:
-        """Call `callback` no more."""
+        """Stop calling `callback`."""
         self._watchers.remove(callback)
 
     def call(self, message: object, timeout: float) -> result.Result[Any, Any]:
-        """Take a report."""
+        """Apply a report to the history."""
         return self._call(message)
 
     @functools.singledispatchmethod
@@ -76,21 +78,21 @@
 
     @_call.register
     def _report(self, message: messages.ReportCrashes) -> result.Result[Any, Any]:
-        command = crash_commands.NoteCrashes(message.reports, message.cleared)
+        command = crash_commands.RecordCrashes(message.reports, message.cleared)
         return self._commit(command).map(
             lambda noted: messages.CrashesTaken(self.crashes_index)
         )
 
     def lift(self, fingerprint: str) -> None:
-        """Forget what is held against one call, as an operator wishes."""
-        self._commit(crash_commands.NoteCrashes(cleared=(fingerprint,)))
+        """Drop the crash history of one call on behalf of an operator."""
+        self._commit(crash_commands.RecordCrashes(cleared=(fingerprint,)))
         eliot.log_message(message_type="crashes:lifted", fingerprint=fingerprint)
 
     @abc.abstractmethod
     def _commit(self, command: object) -> result.Result[Any, Any]:
-        """Have a command applied, and take what came of it."""
+        """Apply a command, and update the copy of the history."""
 
-    def _take(self, section: crash_commands.Section) -> None:
+    def _apply_section(self, section: crash_commands.Section) -> None:
         if section.index <= self.crashes_index:
             return
         self.crashes = section.book
@@ -99,8 +101,8 @@
             callback()
 
 
-class OwnRecord(_Followed):
-    """The record of one gateway by itself."""
+class LocalRecord(_WatchedRecord):
+    """A record that one gateway stores itself."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -108,21 +110,21 @@
         self._n_commands = 0
 
     def start(self) -> None:
-        """There is nothing to follow."""
+        """Do nothing: a local record is always up to date."""
 
     def stop(self) -> None:
-        """There is nothing to follow."""
+        """Do nothing: a local record is always up to date."""
 
     def _commit(self, command: object) -> result.Result[Any, Any]:
         self._n_commands += 1
         context = machine.Context(self._n_commands, time.time())
         answer = machine.apply(command, self._state, context)
-        self._take(crash_commands.section_of(self._state))
+        self._apply_section(crash_commands.section_of(self._state))
         return result.Ok(answer)
 
 
-class GroupRecord(_Followed):
-    """The record that the state group keeps for all gateways."""
+class GroupRecord(_WatchedRecord):
+    """The record that the state group stores for all gateways."""
 
     def __init__(
         self, state: client.StateClient, bundles: interfaces.BundleView
@@ -137,18 +139,18 @@
         self._task = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop to follow it."""
+        """Stop following the record."""
         if self._task is not None:
             self._task.kill()
             self._task = None
 
     def _run(self) -> None:
         while True:
-            clock.sleep(_LOOK_SECONDS)
+            clock.sleep(_POLL_SECONDS)
             if self._bundles.crashes_index() > self.crashes_index:
                 self._read()
             if self.crashes.is_due(time.time()):
-                self._commit(crash_commands.LapseCrashes())
+                self._commit(crash_commands.ExpireCrashes())
 
     def _commit(self, command: object) -> result.Result[Any, Any]:
         answer = self._state.submit(command, _CALL_SECONDS)
@@ -159,4 +161,4 @@
     def _read(self) -> None:
         answer = self._state.query(crash_commands.ReadCrashes(), _CALL_SECONDS)
         if isinstance(answer, result.Ok):
-            self._take(answer.ok_value)
+            self._apply_section(answer.ok_value)
--- a/bilberrydrum/requests/dispatch.py
+++ b/bilberrydrum/requests/dispatch.py
@@ -72,7 +72,7 @@
         )
         self._router = routing.Router(settings.availability_zone, self._rng)
         self.budget = retries.RetryBudget(settings.requests.retry_budget)
-        self.crashes = crash_memory.CrashMemory(record or crash_record.OwnRecord())
+        self.crashes = crash_memory.CrashMemory(record or crash_record.LocalRecord())
         self._recovery = recovery.Recovery(
             self._router,
             self._means.pool,
--- a/bilberrydrum/requests/recovery.py
+++ b/bilberrydrum/requests/recovery.py
@@ -61,7 +61,7 @@
         """Tell whether the stream was well for so long that its call is cleared."""
         if self.first_tokens_at is None:
             return False
-        return clock.now() - self.first_tokens_at >= quarantine.SURVIVED_SECONDS
+        return clock.now() - self.first_tokens_at >= quarantine.HEALTHY_RUN_SECONDS
 
 
 @attrs.frozen
@@ -84,7 +84,7 @@
 
     def answered(self, call: calls.Call) -> None:
         """Note that a call came to an end."""
-        self.crashes.was_answered(call)
+        self.crashes.record_answer(call)
 
     def after(
         self,
@@ -107,10 +107,10 @@
         if error.is_refusal:
             return progress.failed
         if progress.has_survived() or error.answer is not None:
-            self.crashes.was_answered(call)
+            self.crashes.record_answer(call)
         else:
             seconds = now - progress.began_at
-            self.crashes.run_broke(call, upstream, error, seconds)
+            self.crashes.record_broken_run(call, upstream, error, seconds)
         if error.reason is reasons.Reason.UPSTREAM_BUSY:
             self._note_busy(progress, upstream, error, now)
         else:
--- a/tests/fakes/crashing.py
+++ b/tests/fakes/crashing.py
@@ -1,8 +1,8 @@
-"""Upstreams that end when they begin to run a certain request, and start again.
+"""Upstreams that crash when they begin to run a marked request, and restart.
 
-Each start has a new name and the address of the one before, as a process that its host
-starts again. Requests whose body is `MARK` end the upstream a moment after it has
-begun them; all others beside them are cut off with it.
+Each incarnation has a new name and the address of the one before, like a process that
+its host restarts. Requests whose body is `MARK` crash the upstream `RUN_SECONDS` after
+it has begun to run them; all concurrent requests are cut off.
 """
 
 import collections
@@ -17,15 +17,15 @@
 from tests.fakes import scripted
 
 MARK = b"ends whatever runs it"
-# Time from a start of the run to the end of the process, in seconds.
+# Time from the start of a marked run to the crash, in seconds.
 RUN_SECONDS = 0.03
-# Time until the next start, in seconds.
+# Time from a crash to the restart, in seconds.
 DOWN_SECONDS = 0.4
 
 
 @attrs.frozen
 class Reached:
-    """A crashing request that has reached an upstream."""
+    """A marked request that has reached an upstream."""
 
     at: float
     request_id: str
@@ -33,7 +33,7 @@
 
 
 class CrashingUpstreams:
-    """Some upstreams of one service.
+    """Several upstreams of one service.
 
     Parameters
     ----------
@@ -42,11 +42,11 @@
     n_upstreams : int
         How many there are.
     announce : callable
-        Tells the control group of an upstream.
+        Announces an upstream to the control group.
     answer : callable
-        Answers a request on its socket; given those that don't end the upstream.
+        Answers a request on its socket; called for requests that are not marked.
     versions_by_model : dict
-        What they announce of their weights.
+        Weight versions that the upstreams announce.
     """
 
     def __init__(
@@ -61,63 +61,64 @@
         self._announce = announce
         self._answer = answer
         self._versions_by_model = versions_by_model or {}
-        self._servers_by_place: dict[int, scripted.Scripted] = {}
-        self._n_running_by_place: collections.Counter[int] = collections.Counter()
+        self._servers_by_index: dict[int, scripted.Scripted] = {}
+        self._n_running_by_index: collections.Counter[int] = collections.Counter()
         self._n_starts = 0
-        self.ids_by_place: dict[int, str] = {}
-        # Crashing requests, and when an upstream ended, in order.
+        self.ids_by_index: dict[int, str] = {}
+        # Marked requests that reached an upstream, and times of crashes, in order.
         self.reached: list[Reached] = []
         self.ended_at: list[float] = []
         self._tasks: list[Any] = []
-        for place in range(1, n_upstreams + 1):
-            self._start(place, 0)
+        for index in range(1, n_upstreams + 1):
+            self._start(index, 0)
 
     def stop(self) -> None:
-        """End all of them for good."""
+        """Stop all upstreams without a restart."""
         for task in self._tasks:
             task.kill()
-        for server in self._servers_by_place.values():
+        for server in self._servers_by_index.values():
             server.stop()
 
     def n_up(self) -> int:
-        """Return how many serve now."""
-        return len(self._servers_by_place)
+        """Return how many upstreams are running."""
+        return len(self._servers_by_index)
 
-    def n_reached_after(self, seconds: float, n_ended: int = 3) -> int:
-        """Return how many attempts were sent later than that after the n-th end.
+    def n_reached_after(self, seconds: float, n_crashed: int = 3) -> int:
+        """Return how many attempts reached an upstream late.
 
-        An attempt that reaches several upstreams counts once.
+        These are the attempts with a marked request, more than `seconds` after the
+        `n_crashed`-th crash. One that reaches several upstreams counts once.
         """
-        if len(self.ended_at) < n_ended:
+        if len(self.ended_at) < n_crashed:
             return 0
-        since = self.ended_at[n_ended - 1] + seconds
+        since = self.ended_at[n_crashed - 1] + seconds
         return len({each.request_id for each in self.reached if each.at > since})
 
-    def busy_place(self) -> int | None:
-        """Return where a request runs that does not end its upstream, from 1 on."""
-        return next((p for p, n in self._n_running_by_place.items() if n), None)
+    def busy_index(self) -> int | None:
+        """Return the index, from 1, of an upstream that runs an unmarked request."""
+        return next((p for p, n in self._n_running_by_index.items() if n), None)
 
-    def end(self, place: int) -> None:
-        """End an upstream for a reason of its own."""
-        self._end(place, self.ids_by_place[place])
+    def crash(self, index: int) -> None:
+        """Crash an upstream for an unrelated reason."""
+        self._crash(index, self.ids_by_index[index])
 
-    def _start(self, place: int, port: int) -> None:
+    def _start(self, index: int, port: int) -> None:
         self._n_starts += 1
         upstream_id = f"{self._service}-{self._n_starts}"
 
         def run(connection: Any, received: scripted.Received) -> Any:
             if received.body != MARK:
-                return self._run(place, connection, received)
+                return self._run(index, connection, received)
             self.reached.append(Reached(clock.now(), received.request_id, upstream_id))
             eventlet.sleep(RUN_SECONDS)
-            eventlet.spawn_n(self._end, place, upstream_id)
+            eventlet.spawn_n(self._crash, index, upstream_id)
             # The connection ends with the process.
             eventlet.sleep(10.0)
             return False
 
         server = scripted.Scripted(run, port)
-        self._servers_by_place[place] = server
-        self.ids_by_place[place] = upstream_id
+        self._servers_by_index[index] = server
+        self.ids_by_index[index] = upstream_id
         upstream = model.FleetUpstream(
             upstream_id,
             self._service,
@@ -129,21 +130,21 @@
         )
         self._announce(upstream)
 
-    def _run(self, place: int, connection: Any, received: scripted.Received) -> Any:
-        self._n_running_by_place[place] += 1
+    def _run(self, index: int, connection: Any, received: scripted.Received) -> Any:
+        self._n_running_by_index[index] += 1
         try:
             return self._answer(connection, received)
         finally:
-            self._n_running_by_place[place] -= 1
+            self._n_running_by_index[index] -= 1
 
-    def _end(self, place: int, upstream_id: str) -> None:
-        if self.ids_by_place[place] != upstream_id:
+    def _crash(self, index: int, upstream_id: str) -> None:
+        if self.ids_by_index[index] != upstream_id:
             return
-        server = self._servers_by_place.pop(place, None)
+        server = self._servers_by_index.pop(index, None)
         if server is None:
             return
         self.ended_at.append(clock.now())
         server.stop()
         port = int(server.address.rpartition(":")[2])
-        again = eventlet.spawn_after(DOWN_SECONDS, self._start, place, port)
+        again = eventlet.spawn_after(DOWN_SECONDS, self._start, index, port)
         self._tasks.append(again)
--- a/tests/fakes/engine_storm.py
+++ b/tests/fakes/engine_storm.py
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    book : quarantine.Book
+    book : quarantine.CrashHistory
         Told of the crashes, and asked who may be sent.
     seed : int
         Seed of the play.
@@ -54,7 +54,11 @@
     N_ITEMS = 40
 
     def __init__(
-        self, book: quarantine.Book, seed: int, storm_seconds: float, n_guilty: int
+        self,
+        book: quarantine.CrashHistory,
+        seed: int,
+        storm_seconds: float,
+        n_guilty: int,
     ) -> None:
         self.book = book
         self._rng = random.Random(seed)
@@ -101,10 +105,10 @@
             return
         start = f"{id(engine)}-{engine.n_starts}"
         for run in engine.runs:
-            if self._now - run.began_at >= quarantine.SURVIVED_SECONDS:
+            if self._now - run.began_at >= quarantine.HEALTHY_RUN_SECONDS:
                 self.book.clear(run.name)
             else:
-                self.book.note(quarantine.Crash(run.name, "", start), self._now)
+                self.book.record(quarantine.Crash(run.name, "", start), self._now)
             if self.book.standing(run.name) is quarantine.Standing.QUARANTINED:
                 self.quarantined.add(run.name)
             self._waiting.append(run.name)
--- a/tests/relay_support.py
+++ b/tests/relay_support.py
@@ -47,7 +47,7 @@
     def __init__(self, upstreams):
         self.registry = fleet_model.Registry(1, tuple(upstreams))
         self.routes = policy.RouteTable(policy.Policy(1))
-        self.crashes = quarantine.Book()
+        self.crashes = quarantine.CrashHistory()
         self.crashes_index = 0
 
     def watch(self, callback):
--- a/tests/test_batches_ends.py
+++ b/tests/test_batches_ends.py
@@ -93,7 +93,7 @@
         self.registry = fleet_model.Registry()
         self.add("e1", engine)
         self.routes = policy.RouteTable(policy.Policy(1, (route,), (service,)))
-        self.crashes = quarantine.Book()
+        self.crashes = quarantine.CrashHistory()
         self.crashes_index = 0
 
     def add(self, upstream_id, engine):
--- a/tests/test_batches_item_crashes.py
+++ b/tests/test_batches_item_crashes.py
@@ -1,18 +1,17 @@
-"""Items of batches whose engines end beside them, for reasons of their own.
+"""Unrelated items are quarantined, or crash-causing items are not.
 
-On a day on which engines ended every second, two fifths of them at a time, an innocent
-item was cut off three times in its first second (the second time 0.037 s after it had
-been sent, the third 0.12 s) and held back. Its group was never whole, its trainer
-waited for it until the step ran out of time, and 29 of 81 groups failed (none on the
-code without that verdict).
+Engines crashed every second for other reasons, two fifths of them at a time. An
+unrelated item was cut off three times in its first second (the second time 0.037 s
+after it had been sent, the third time 0.12 s) and held back. Its group was never
+complete, its trainer waited for it until the step timed out, and 29 of 81 groups failed
+(none without the quarantine of items). A dozen items run at an engine, so a crash says
+little about each of them. A crash-causing item differs in that engines crash where it
+runs, and not elsewhere.
 
-A dozen items run at an engine, so its end says little of each. What sets the guilty one
-apart is that engines end where it is, and not where it isn't.
-
-Of several guilty items that ran together, each lost its ends by the verdicts on the
-others. With seven of them about, the lines of one, `crashes:run-broken`, named eight
-engines one after the other, and it was still doubtful: twice its ends had been taken
-from it, and it began to be counted anew.
+The crashes of several crash-causing items that run together are attributed to one
+another at each quarantine. With seven of them, the `crashes:run-broken` lines of one
+item named eight engines one after the other, and the item was still only suspected: its
+crashes had been attributed to others twice, and its count had started from zero.
 """
 
 import unittest
@@ -22,26 +21,26 @@
 from bilberrydrum import quarantine
 from tests.fakes import engine_storm
 
-# Three ends, and three more attempts that may still reach an engine.
-MOST_ENDED = 3 + 3
+# Three crashes, and three more attempts that may still reach an engine.
+MAX_CRASHED = 3 + 3
 
 
 class ItemCrashes(unittest.TestCase):
-    def play(self, seed, storm_seconds, n_guilty):
-        book = quarantine.Book(is_crowded=True)
-        play = engine_storm.EngineStorm(book, seed, storm_seconds, n_guilty)
-        play.run()
-        return play
+    def simulate(self, seed, storm_seconds, n_crashing):
+        history = quarantine.CrashHistory(is_crowded=True)
+        simulation = engine_storm.EngineStorm(history, seed, storm_seconds, n_crashing)
+        simulation.run()
+        return simulation
 
     @tools.params(4.0, 8.0, 16.0)
     def test_storm(self, storm_seconds):
-        """Nobody is held back, however often engines end."""
+        """No item is quarantined, however often engines crash."""
         for seed in range(40):
-            play = self.play(seed, storm_seconds, n_guilty=0)
-            self.assertEqual(play.quarantined, set(), seed)
+            simulation = self.simulate(seed, storm_seconds, n_crashing=0)
+            self.assertEqual(simulation.quarantined, set(), seed)
 
     @tools.params(
-        # Guilty items, seconds that the storm lasts, seeds.
+        # Crash-causing items, duration of the storm of crashes in seconds, seeds.
         (1, 0.0, 40),
         (1, 8.0, 40),
         (2, 0.0, 20),
@@ -49,18 +48,18 @@
         (3, 8.0, 20),
         (5, 0.0, 20),
     )
-    def test_guilty_items(self, n_guilty, storm_seconds, n_seeds):
-        """Engines that end for it or in the storm: three, and three more are borne."""
+    def test_crashing_items(self, n_crashing, storm_seconds, n_seeds):
+        """An item is cut off by three crashes, and three more are tolerated."""
         for seed in range(n_seeds):
-            play = self.play(seed, storm_seconds, n_guilty)
-            self.assertEqual(play.quarantined, play.guilty, seed)
-            for name, n_ended in play.n_ended_by_name.items():
-                self.assertLessEqual(n_ended, MOST_ENDED, (seed, name))
+            simulation = self.simulate(seed, storm_seconds, n_crashing)
+            self.assertEqual(simulation.quarantined, simulation.guilty, seed)
+            for name, n_crashed in simulation.n_ended_by_name.items():
+                self.assertLessEqual(n_crashed, MAX_CRASHED, (seed, name))
 
-    def test_more_guilty_items_than_engines(self):
-        """Engines are down most of the time; the bound holds for each all the same."""
+    def test_more_crashing_items_than_engines(self):
+        """Most of the time engines are down; each item still keeps to the bound."""
         for seed in range(8):
-            play = self.play(seed, 0.0, 8)
-            self.assertLessEqual(play.quarantined, play.guilty, seed)
-            for name, n_ended in play.n_ended_by_name.items():
-                self.assertLessEqual(n_ended, MOST_ENDED, (seed, name))
+            simulation = self.simulate(seed, 0.0, 8)
+            self.assertLessEqual(simulation.quarantined, simulation.guilty, seed)
+            for name, n_crashed in simulation.n_ended_by_name.items():
+                self.assertLessEqual(n_crashed, MAX_CRASHED, (seed, name))
--- a/tests/test_batches_score_sender.py
+++ b/tests/test_batches_score_sender.py
@@ -107,7 +107,7 @@
             ),
         )
         self.routes = policy.RouteTable(policy.Policy(1, ROUTES))
-        self.crashes = quarantine.Book()
+        self.crashes = quarantine.CrashHistory()
         self.crashes_index = 0
 
     def watch(self, callback):
--- a/tests/test_crash_evidence.py
+++ b/tests/test_crash_detection.py
@@ -1,4 +1,4 @@
-"""Which requests are the same, and whether an upstream has ended."""
+"""Fingerprints of requests, and the probe of whether an upstream has crashed."""
 
 import pathlib
 import sys
@@ -12,7 +12,7 @@
 
 from bilberrydrum_platform import upstreams
 
-from bilberrydrum.requests import examination, fingerprints
+from bilberrydrum.requests import crash_probe, fingerprints
 
 GIVEN = ("POST", "Host.example", "/a/b?page=1", "desk", b"body")
 
@@ -43,7 +43,7 @@
 
 
 class Identity(unittest.TestCase):
-    """Headers of one attempt are left out, those of the caller are not."""
+    """Headers of an attempt are not part of the identity, those of a caller are."""
 
     HEADERS = {"X-Model": "m", "X-Token-Count": "5,9", "Authorization": "a"}
 
@@ -61,20 +61,20 @@
         self.assertEqual(given == protocol.identity_of(self.HEADERS), is_same, name)
 
 
-class HasEnded(unittest.TestCase):
-    """A process that has ended refuses connections; others take them or are silent."""
+class HasCrashed(unittest.TestCase):
+    """Connections to a crashed process are refused; others succeed or time out."""
 
     def test_listens(self):
         listener = eventlet.listen(("127.0.0.1", 0))
         self.addCleanup(listener.close)
         address = f"127.0.0.1:{listener.getsockname()[1]}"
-        self.assertFalse(examination.has_ended(address))
+        self.assertFalse(crash_probe.has_crashed(address))
 
     def test_nobody_listens(self):
         listener = eventlet.listen(("127.0.0.1", 0))
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         listener.close()
-        self.assertTrue(examination.has_ended(address))
+        self.assertTrue(crash_probe.has_crashed(address))
 
     def test_no_address(self):
-        self.assertFalse(examination.has_ended("nowhere.invalid:1"))
+        self.assertFalse(crash_probe.has_crashed("nowhere.invalid:1"))
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -1,18 +1,15 @@
-"""A request that ends whatever runs it, sent again and again through any gateway.
+"""A crash-causing request that is retried through any gateway takes a service down.
 
-A gateway tries such a look-up at two upstreams, its caller comes back to another
-gateway, which knows nothing of the first: with three upstreams the whole service is
-down, and all look-ups beside it are refused. Once the upstreams are back, the caller
-sends it again, and they go down again.
-
-Nothing is remembered of a request beyond its answer. Lines of one round, from three
-gateways, seconds from the first:
+A gateway tries such a look-up at two upstreams, and its caller retries it through
+another gateway. Without a shared crash history the second gateway has no record of the
+first crashes: a service of three upstreams is down, and unrelated look-ups are refused.
+Once the upstreams have restarted, the next retry takes them down again. Six such rounds
+crashed 18 upstreams, and 29 of 191 look-ups were refused. Log lines of one round, from
+three gateways, in seconds from the first:
 
     0.00  connect-failed    n_run 1  at the first upstream
     0.13  connection-reset  n_run 2  at the second, "may have run"
     0.33  connection-reset  n_run 1  at the third, another id, another gateway
-
-Six rounds ended 18 upstreams, and 29 of 191 look-ups were refused.
 """
 
 import tempfile
@@ -32,17 +29,18 @@
 from tests import helpers, test_nodes_path
 from tests.fakes import crashing, node_protocol, scripted
 
-# Once a request has ended three upstreams, and this time has passed, all processes that
-# are in touch have to know; three more attempts are borne.
-CONTACT_SECONDS = 3.0
+# Time after which all connected processes have to know of a request that has crashed
+# three upstreams, in seconds. Three more attempts are tolerated.
+PROPAGATION_SECONDS = 3.0
 MAX_LATE_ATTEMPTS = 3
-# Engines that an item may end, whoever leads the stores and whatever batch it is in.
-MOST_ENDED = 3 + MAX_LATE_ATTEMPTS
+# Engines that an item may crash, however often the stores' leader changes and the item
+# is submitted in other batches.
+MAX_CRASHED = 3 + MAX_LATE_ATTEMPTS
 N_UPSTREAMS = 3
 N_GATEWAYS = 3
-# Rounds of a caller that comes back after the time of contact.
+# Rounds of retries after `PROPAGATION_SECONDS`.
 N_LATE_ROUNDS = 4
-# Look-ups with this body take so long.
+# A look-up with this body takes `SLOW_SECONDS`.
 SLOW = b"slow"
 SLOW_SECONDS = 0.2
 
@@ -131,8 +129,8 @@
         return found
 
     def is_known(self, given):
-        """Tell whether all upstreams serve, and all gateways know them."""
-        ids = set(given.ids_by_place.values())
+        """Return whether all upstreams serve and are known to all gateways."""
+        ids = set(given.ids_by_index.values())
         return given.n_up() == len(ids) and all(
             ids <= {each.upstream_id for each in gateway_.view.registry.upstreams}
             for gateway_ in self.gateways
@@ -162,40 +160,44 @@
                 return relay_model.Refused(answer, may_have_run=True)
         return answer
 
-    def come_back(self, path, number):
-        """Send a crashing request as a caller does: twice, to two gateways."""
+    def retry(self, path, number):
+        """Send a crash-causing request as a caller does: twice, to two gateways."""
         for step in range(2):
             gateway_ = self.gateways[(number + step) % len(self.gateways)]
             answer = self.send(gateway_, path, crashing.MARK)
-            is_whole = isinstance(answer, relay_model.Answered | relay_model.Streamed)
-            self.assertFalse(is_whole and answer.status == 200, "it never runs whole")
+            is_completed = isinstance(
+                answer, relay_model.Answered | relay_model.Streamed
+            )
+            self.assertFalse(
+                is_completed and answer.status == 200, "it never completes"
+            )
 
     def run_rounds(self, path):
-        """Have a caller come back, before the time of contact has passed and after."""
+        """Let a caller retry, before `PROPAGATION_SECONDS` have passed and after."""
         number = 0
         while len(self.apps.ended_at) < 3:
             self.wait_for(lambda: self.is_known(self.apps))
-            self.come_back(path, number)
+            self.retry(path, number)
             number += 1
             self.assertLess(number, 10)
-        since = self.apps.ended_at[2] + CONTACT_SECONDS
+        since = self.apps.ended_at[2] + PROPAGATION_SECONDS
         clock.sleep(max(since - clock.now(), 0.0) + 0.1)
         for each in range(N_LATE_ROUNDS):
             self.wait_for(lambda: self.is_known(self.apps))
-            self.come_back(path, number + each)
+            self.retry(path, number + each)
 
 
 class Requests(CrashingCase):
     @tools.params("/look-ups/x", "/streams/x", "/once/x")
     def test_single_requests(self, path):
-        """The caller comes back through other gateways, seconds after the third end.
+        """A request crashes upstreams when retried seconds after the third crash.
 
-        At most three of its attempts may still reach an upstream. Others use the
-        service all the while; afterwards they are answered as before.
+        The retries arrive through other gateways. At most three of them may still reach
+        an upstream, and unrelated requests are answered afterwards as before.
         """
         self.wait_for(lambda: self.is_known(self.apps))
         self.run_rounds(path)
-        n_late = self.apps.n_reached_after(CONTACT_SECONDS)
+        n_late = self.apps.n_reached_after(PROPAGATION_SECONDS)
         self.assertLessEqual(n_late, MAX_LATE_ATTEMPTS, path)
         self.wait_for(lambda: self.is_known(self.apps))
         for gateway_ in self.gateways:
@@ -203,15 +205,15 @@
             self.assertEqual(answer.status, 200)
 
 
-class KnownToAll(CrashingCase):
-    """After three crashes whoever is asked refuses, whatever becomes of others."""
+class QuarantinedEverywhere(CrashingCase):
+    """After three crashes every gateway refuses the request, also after restarts."""
 
     def setUp(self):
         super().setUp()
         self.wait_for(lambda: self.is_known(self.apps))
         number = 0
         while len(self.apps.ended_at) < 3:
-            # One crash for each gateway: none has seen more than one or two itself.
+            # One crash at each gateway: none has seen more than one or two itself.
             gateway_ = self.gateways[number % len(self.gateways)]
             self.send(gateway_, "/look-ups/x", crashing.MARK)
             number += 1
@@ -222,7 +224,7 @@
         n_before = len(self.apps.reached)
         answer = self.send(gateway_, "/look-ups/x", crashing.MARK)
         self.assertEqual(answer.reason, reasons.Reason.REQUEST_QUARANTINED)
-        # No promise that it has not run, and no time to come back.
+        # The refusal does not say that the request has not run, and has no retry time.
         self.assertTrue(answer.is_final)
         self.assertEqual(answer.retry_after_seconds, 0.0)
         self.assertEqual(len(self.apps.reached), n_before)
@@ -238,13 +240,13 @@
             self.assertEqual(answer.status, 200)
 
     def test_gateway_that_starts(self):
-        """It keeps nothing itself, and is told before it has a policy to serve by."""
+        """A new gateway receives the history before it has a policy to serve by."""
         started = self.start_gateway()
         self.wait_for(started.is_ready)
         self.check_refused(started)
 
     def test_control_process_that_starts_again(self):
-        """The group's only process ends and comes back; gateways start meanwhile."""
+        """The group's only process restarts, and a gateway starts meanwhile."""
         self.control.stop()
         self.wait_for(lambda: test_nodes_path.is_free(self.control_address))
         folder = self.folders[self.control]
@@ -259,58 +261,59 @@
         self.check_refused(started)
 
     def test_gateway_that_was_cut_off(self):
-        """It saw nothing of it; back in touch, it knows with its next renewal."""
+        """A gateway that missed all crashes reads them at its next lease renewal."""
         cut_off = self.start_gateway()
         self.wait_for(cut_off.is_ready)
-        cut_off.view.crashes = quarantine.Book()
+        cut_off.view.crashes = quarantine.CrashHistory()
         cut_off.view.crashes_index = 0
         self.wait_for(lambda: not cut_off.view.crashes.is_empty())
         self.check_refused(cut_off)
 
     def test_operator_lifts_it(self):
-        """The service was mended: the request is served again at once, everywhere."""
-        book = self.ask_control(messages.ListCrashes())
-        (evidence,) = book.evidence_by_fingerprint.values()
-        self.assertEqual(evidence.subject, "POST h/look-ups/x")
-        self.assertEqual(len(evidence.ended_at_by_id), 3)
-        self.ask_control(messages.LiftQuarantine(evidence.fingerprint))
+        """After an operator lifts the quarantine, all gateways serve the request."""
+        histories = self.ask_control(messages.ListCrashes())
+        (history,) = histories.evidence_by_fingerprint.values()
+        self.assertEqual(history.subject, "POST h/look-ups/x")
+        self.assertEqual(len(history.ended_at_by_id), 3)
+        self.ask_control(messages.LiftQuarantine(history.fingerprint))
         self.wait_for(lambda: all(e.view.crashes.is_empty() for e in self.gateways))
         answer = self.send(self.gateways[0], "/look-ups/x", crashing.MARK)
         self.assertNotEqual(answer.reason, reasons.Reason.REQUEST_QUARANTINED)
         self.assertGreater(len(self.apps.ended_at), 3)
 
 
-class Bystanders(CrashingCase):
-    """Upstreams end while they run requests that have nothing to do with it."""
+class UnrelatedCrashes(CrashingCase):
+    """Upstreams crash while they run unrelated requests."""
 
-    def test_upstreams_end_one_after_the_other(self):
-        """Each time one ends that runs the same look-up; another one answers it.
+    def test_upstreams_crash_one_after_the_other(self):
+        """An unrelated look-up is refused because upstreams crash while they run it.
 
-        It is cut off six times within seconds. What is held against it must be gone
-        with each answer, and it is never refused.
+        It is cut off six times within seconds, and another upstream answers it each
+        time. Each answer has to clear its crash history, so it is never refused.
         """
         self.wait_for(lambda: self.is_known(self.apps))
         for number in range(6):
             gateway_ = self.gateways[number % len(self.gateways)]
             asked = eventlet.spawn(self.send, gateway_, "/look-ups/x", SLOW)
-            place = self.wait_for(self.apps.busy_place)
-            self.apps.end(place)
+            index = self.wait_for(self.apps.busy_index)
+            self.apps.crash(index)
             self.assertEqual(asked.wait().status, 200)
             self.wait_for(lambda: self.is_known(self.apps))
         self.wait_for(lambda: all(e.view.crashes.is_empty() for e in self.gateways))
 
-    def test_doubtful_one_is_tried_and_cleared(self):
-        """Two upstreams end under a look-up, none answers; it is innocent all the same.
+    def test_suspected_request_is_tried_and_cleared(self):
+        """An unrelated look-up stays suspected after two upstreams crashed.
 
-        The next attempt is sent to one of the upstreams that stand, is answered, and
-        from then on it is like any other.
+        Neither of the two has answered it. Its next attempt is refused while upstreams
+        are down. The following one is sent to an available upstream as a trial, is
+        answered, and clears the look-up.
         """
         self.wait_for(lambda: self.is_known(self.apps))
         asked = eventlet.spawn(self.send, self.gateways[0], "/look-ups/x", SLOW)
         for _ in range(2):
-            place = self.wait_for(self.apps.busy_place)
-            clock.sleep(2 * quarantine.MOMENT_SECONDS)
-            self.apps.end(place)
+            index = self.wait_for(self.apps.busy_index)
+            clock.sleep(2 * quarantine.CONCURRENT_SECONDS)
+            self.apps.crash(index)
         self.assertTrue(asked.wait().may_have_run)
         view = self.gateways[1].view
         self.wait_for(lambda: not view.crashes.is_empty())
@@ -325,7 +328,7 @@
 
 
 class Batches(CrashingCase):
-    """Items and scoring requests are sent by the stores' leader."""
+    """Crash-causing items and scoring requests, which the stores' leader sends."""
 
     def setUp(self):
         super().setUp()
@@ -359,41 +362,42 @@
             name, "/batches/x", {}, body, 9, f"g{number}", scoring=scoring
         )
 
-    def check(self, given, n_whole):
-        """Check that after the third end the item stays away from upstreams."""
+    def check(self, given, n_completed):
+        """Check that the item no longer reaches upstreams after the third crash."""
         self.wait_for(lambda: len(given.ended_at) >= 3)
-        clock.sleep(CONTACT_SECONDS + 4.0)
-        since = given.ended_at[2] + CONTACT_SECONDS
+        clock.sleep(PROPAGATION_SECONDS + 4.0)
+        since = given.ended_at[2] + PROPAGATION_SECONDS
         n_late = sum(1 for each in given.reached if each.at > since)
         self.assertLessEqual(n_late, MAX_LATE_ATTEMPTS)
-        self.wait_for(lambda: len(self.results()) >= n_whole)
+        self.wait_for(lambda: len(self.results()) >= n_completed)
         states = {each.state for each in self.results()}
         self.assertEqual(states, {batch_model.ItemState.COMPLETED})
 
     def test_items(self):
-        """One item of a batch ends each engine that begins it.
+        """One item of a batch crashes each engine that begins to run it.
 
-        It is sent to engine after engine, and takes with it whatever runs beside it.
-        The other items of its batch must come through, and the engines stay up.
+        It is sent to engine after engine, and each crash cuts off the items that run
+        concurrently. The other items of its batch have to be completed, and the engines
+        have to stay up.
         """
         others = [self.item(number, b"body") for number in range(6)]
         self.submit(self.item(9, crashing.MARK), *others)
         self.check(self.engines, len(others))
 
     def test_scoring_requests(self):
-        """The scoring request of one item ends each upstream that begins it."""
+        """The scoring request of one item crashes each upstream that runs it."""
         others = [self.item(number, b"body", b"score") for number in range(3)]
         self.submit(self.item(9, b"body", crashing.MARK), *others)
         self.check(self.apps, len(others))
 
     def submit_crashing(self):
-        """Have an item that ends engines held back, beside one that is served."""
+        """Have a crash-causing item quarantined, next to an item that is served."""
         self.submit(self.item(9, crashing.MARK), self.item(1, b"body"))
         self.wait_for(lambda: self.engines.ended_at)
-        self.wait_until_spared()
+        self.wait_until_stable()
 
-    def wait_until_spared(self):
-        """Wait until all engines have been up for longer than between two ends."""
+    def wait_until_stable(self):
+        """Wait until no engine has crashed for 2 s and all engines are up."""
         n_before = -1
         while len(self.engines.ended_at) != n_before or (
             self.engines.n_up() < N_UPSTREAMS
@@ -402,40 +406,44 @@
             clock.sleep(2.0)
 
     def check_bound(self):
-        """Check that the item has ended as many engines as it may, and no more."""
-        self.assertLessEqual(len(self.engines.ended_at), MOST_ENDED)
+        """Check that the item has crashed no more engines than it may."""
+        self.assertLessEqual(len(self.engines.ended_at), MAX_CRASHED)
 
     def test_item_in_a_later_batch(self):
-        """Its trainer hands it in again, with every step that waits for its group."""
+        """A quarantined item crashes engines again when a later batch contains it.
+
+        Its trainer submits it again with every step that waits for its group.
+        """
         self.submit_crashing()
         for step in range(3):
             self.ask_stores(batch_messages.AskEnd(f"b{step or ''}"))
             item = self.item(9, crashing.MARK)
             self.submit(item, self.item(1, b"body"), batch_id=f"b{step + 1}")
-            self.wait_until_spared()
+            self.wait_until_stable()
         self.check_bound()
 
     def test_operator_lifts_it(self):
-        """The control group has the verdict, and nothing against the item beside it."""
+        """The control group's history has the crash-causing item, and no other one."""
         self.submit_crashing()
         n_before = len(self.engines.ended_at)
-        book = self.ask_control(messages.ListCrashes())
-        (evidence,) = book.evidence_by_fingerprint.values()
-        self.assertIs(evidence.standing(), quarantine.Standing.QUARANTINED)
-        self.assertEqual(evidence.subject, "POST h/batches/x")
-        self.ask_control(messages.LiftQuarantine(evidence.fingerprint))
+        histories = self.ask_control(messages.ListCrashes())
+        (history,) = histories.evidence_by_fingerprint.values()
+        self.assertIs(history.standing(), quarantine.Standing.QUARANTINED)
+        self.assertEqual(history.subject, "POST h/batches/x")
+        self.ask_control(messages.LiftQuarantine(history.fingerprint))
         self.wait_for(lambda: len(self.engines.ended_at) > n_before)
 
     def test_leaders_that_start_again(self):
-        """Each of the stores' leaders sends whatever has no result yet.
+        """A quarantined item crashes engines again after each restart of the leader.
 
-        None remembers anything of its own from before. Without the control group's
-        verdict each would have the item end six engines more.
+        Each of the stores' leaders sends the items that have no result yet, and has no
+        crash history of its own from before. Without the control group's history, each
+        leader would let the item crash six more engines.
         """
         self.submit_crashing()
         for _ in range(3):
             self.start_store_again()
-            self.wait_until_spared()
+            self.wait_until_stable()
         self.check_bound()
 
     def start_store_again(self):
--- a/tests/test_http_crashes.py
+++ b/tests/test_http_crashes.py
@@ -1,4 +1,4 @@
-"""What operators see of requests that end upstreams, and how they lift a verdict."""
+"""Operators' routes to list crash-causing requests and to lift a quarantine."""
 
 import unittest
 
@@ -13,29 +13,29 @@
 from tests.fakes import wsgi
 
 
-def book_of(*ended_at):
-    """Return a book with one request, under which upstreams ended."""
-    book = quarantine.Book()
+def history_of(*ended_at):
+    """Return a history with one request that was cut off by crashes."""
+    history = quarantine.CrashHistory()
     for number, at in enumerate(ended_at):
-        book.note(quarantine.Crash("ab", "POST h/x", f"u{number}"), at)
-    return book
+        history.record(quarantine.Crash("ab", "POST h/x", f"u{number}"), at)
+    return history
 
 
 class Calls:
-    """Stands for the way to the control group."""
+    """Fake of the calls to the control group."""
 
-    def __init__(self, book=None):
-        self.book = book
+    def __init__(self, history=None):
+        self.history = history
         self.lifted = []
 
     def call(self, message, timeout):
-        if self.book is None:
+        if self.history is None:
             error = client.StateError(reasons.Reason.STATE_UNAVAILABLE)
             return result.Err(error)
         if isinstance(message, messages.LiftQuarantine):
             self.lifted.append(message.fingerprint)
             return result.Ok(messages.Done())
-        return result.Ok(self.book)
+        return result.Ok(self.history)
 
 
 def send(record, method, target, tokens=None, headers=None):
@@ -44,13 +44,13 @@
     return wsgi.send(app, method, target, headers=headers).wait()
 
 
-class OfTheGroup(unittest.TestCase):
+class GroupHistory(unittest.TestCase):
     @tools.params(
         ("doubtful", (1.0, 2.0), "doubtful", 0),
         ("quarantined", (1.0, 2.0, 3.0), "quarantined", 1),
     )
     def test_list(self, name, ended_at, standing, n_quarantines):
-        record = crashes.GroupRecord(Calls(book_of(*ended_at)))
+        record = crashes.GroupRecord(Calls(history_of(*ended_at)))
         (row,) = send(record, "GET", "/v1/quarantine").document["requests"]
         self.assertEqual(row["standing"], standing, name)
         self.assertEqual(row["n_quarantines"], n_quarantines)
@@ -59,7 +59,7 @@
 
     @tools.params(("ab", 200, ["ab"]), ("cd", 404, []))
     def test_lift(self, fingerprint, status, lifted):
-        calls = Calls(book_of(1.0, 2.0, 3.0))
+        calls = Calls(history_of(1.0, 2.0, 3.0))
         record = crashes.GroupRecord(calls)
         answer = send(record, "DELETE", f"/v1/quarantine/{fingerprint}")
         self.assertEqual((answer.status, calls.lifted), (status, lifted))
@@ -71,14 +71,14 @@
         self.assertIn("Retry-After", answer.headers)
 
     def test_token(self):
-        record = crashes.GroupRecord(Calls(book_of()))
+        record = crashes.GroupRecord(Calls(history_of()))
         tokens = {edge.GUARD_OPERATOR: b"secret"}
         self.assertEqual(send(record, "GET", "/v1/quarantine", tokens).status, 401)
 
 
-class OfOneGateway(unittest.TestCase):
+class LocalGatewayHistory(unittest.TestCase):
     def test_list_and_lift(self):
-        record = crash_record.OwnRecord()
+        record = crash_record.LocalRecord()
         memory = crash_memory.CrashMemory(record)
         crash = quarantine.Crash("ab", "desk: GET schedule/x", "u")
         report = messages.CrashReport(crash, 0.0)
@@ -86,4 +86,4 @@
         (row,) = send(memory, "GET", "/v1/quarantine").document["requests"]
         self.assertEqual(row["standing"], "clear")
         self.assertEqual(send(memory, "DELETE", "/v1/quarantine/ab").status, 200)
-        self.assertTrue(memory.book().is_empty())
+        self.assertTrue(memory.history().is_empty())
--- a/tests/test_quarantine_reports.py
+++ b/tests/test_quarantine_reports.py
@@ -1,4 +1,4 @@
-"""What processes tell one another of requests that end upstreams."""
+"""Reports of crash-causing requests between the processes."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class Reports(unittest.TestCase):
-    """What the control group is told, and when."""
+    """Which crashes are reported to the control group, and when."""
 
     @tools.params(
         ("at once", 1, (("a", 0.0),), 0.05, 0),
@@ -28,51 +28,53 @@
     def test_due(self, name, n_to_report, crashes, now, n_reported):
         reports = crash_reports.CrashReports(n_to_report)
         for upstream_id, at in crashes:
-            reports.note(test_quarantine.crash(upstream_id), at)
-        due = reports.due(now, quarantine.Book())
+            reports.record(test_quarantine.crash(upstream_id), at)
+        due = reports.due(now, quarantine.CrashHistory())
         self.assertEqual(len(due.reports), n_reported, name)
-        is_due = reports.next_due_at(quarantine.Book()) <= now
+        is_due = reports.next_due_at(quarantine.CrashHistory()) <= now
         self.assertEqual(is_due, bool(n_reported), name)
 
     def test_one_more_crash_of_a_suspect(self):
         reports = crash_reports.CrashReports(2)
-        reports.note(test_quarantine.crash("c"), 1.0)
-        due = reports.due(1.0, test_quarantine.book_of(("a", 0.0)))
+        reports.record(test_quarantine.crash("c"), 1.0)
+        due = reports.due(1.0, test_quarantine.history_of(("a", 0.0)))
         self.assertEqual(
             [each.crash for each in due.reports], [test_quarantine.crash("c")]
         )
 
-    def test_bystander_is_not_reported(self):
+    def test_answered_request_is_not_reported(self):
         reports = crash_reports.CrashReports(1)
-        reports.note(test_quarantine.crash("a"), 0.0)
+        reports.record(test_quarantine.crash("a"), 0.0)
         reports.forget("f")
-        self.assertEqual(reports.due(9.0, quarantine.Book()), messages.ReportCrashes())
+        self.assertEqual(
+            reports.due(9.0, quarantine.CrashHistory()), messages.ReportCrashes()
+        )
 
     def test_kept_until_taken(self):
         reports = crash_reports.CrashReports(1)
-        reports.note(test_quarantine.crash("a"), 0.0)
-        first = reports.due(1.0, quarantine.Book())
-        reports.note(test_quarantine.crash("b"), 1.0)
-        second = reports.due(3.0, quarantine.Book())
+        reports.record(test_quarantine.crash("a"), 0.0)
+        first = reports.due(1.0, quarantine.CrashHistory())
+        reports.record(test_quarantine.crash("b"), 1.0)
+        second = reports.due(3.0, quarantine.CrashHistory())
         ages = [each.age_seconds for each in second.reports]
         self.assertEqual(ages, [3.0, 2.0])
-        reports.reported(first)
-        left = reports.due(9.0, quarantine.Book()).reports
+        reports.acknowledge(first)
+        left = reports.due(9.0, quarantine.CrashHistory()).reports
         self.assertEqual([each.crash for each in left], [test_quarantine.crash("b")])
 
-    def test_bounded_while_the_group_is_away(self):
+    def test_bounded_while_the_group_is_unavailable(self):
         reports = crash_reports.CrashReports(1)
-        noted = [
-            reports.note(test_quarantine.crash("a", f"f{number}"), 0.0)
-            for number in range(crash_reports.MAX_WAITING + 1)
+        recorded = [
+            reports.record(test_quarantine.crash("a", f"f{number}"), 0.0)
+            for number in range(crash_reports.MAX_PENDING + 1)
         ]
-        self.assertEqual(noted.count(False), 1)
-        due = reports.due(9.0, quarantine.Book())
-        self.assertEqual(len(due.reports), crash_reports.MAX_WAITING)
+        self.assertEqual(recorded.count(False), 1)
+        due = reports.due(9.0, quarantine.CrashHistory())
+        self.assertEqual(len(due.reports), crash_reports.MAX_PENDING)
 
 
 class Group(unittest.TestCase):
-    """What several senders have seen counts together, once each."""
+    """Crashes that several senders report count together, once each."""
 
     def setUp(self):
         self.state = machine.State()
@@ -84,46 +86,46 @@
 
     def report(self, upstream_id, time, age=0.0):
         report = messages.CrashReport(test_quarantine.crash(upstream_id), age)
-        return self.apply(crash_commands.NoteCrashes((report,)), time)
+        return self.apply(crash_commands.RecordCrashes((report,)), time)
 
     def test_three_senders(self):
         self.report("a", 10.0)
         self.report("a", 10.3, 0.3)
-        noted = self.report("b", 10.5, 0.4)
-        self.assertEqual(noted.standings_by_fingerprint, {"f": "doubtful"})
+        recorded = self.report("b", 10.5, 0.4)
+        self.assertEqual(recorded.standings_by_fingerprint, {"f": "doubtful"})
         index = crash_commands.section_of(self.state).index
-        # The same again, by another sender: nobody has to be told.
+        # The same crash, reported by another sender: the history does not change.
         self.assertEqual(self.report("b", 10.6).standings_by_fingerprint, {})
         self.assertEqual(crash_commands.section_of(self.state).index, index)
-        noted = self.report("c", 11.0)
-        self.assertEqual(noted.standings_by_fingerprint, {"f": "quarantined"})
+        recorded = self.report("c", 11.0)
+        self.assertEqual(recorded.standings_by_fingerprint, {"f": "quarantined"})
 
     def test_cleared_and_lapsed(self):
         for number, name in enumerate("abc"):
             self.report(name, float(number))
-        lapse = crash_commands.LapseCrashes()
-        self.assertEqual(self.apply(lapse, 5.0).standings_by_fingerprint, {})
-        noted = self.apply(lapse, 2.0 + quarantine.FIRST_SECONDS)
-        self.assertEqual(noted.standings_by_fingerprint, {"f": "doubtful"})
-        cleared = crash_commands.NoteCrashes(cleared=("f", "unknown"))
-        noted = self.apply(cleared, 700.0)
-        self.assertEqual(noted.standings_by_fingerprint, {"f": "clear"})
+        expire = crash_commands.ExpireCrashes()
+        self.assertEqual(self.apply(expire, 5.0).standings_by_fingerprint, {})
+        recorded = self.apply(expire, 2.0 + quarantine.FIRST_SECONDS)
+        self.assertEqual(recorded.standings_by_fingerprint, {"f": "doubtful"})
+        cleared = crash_commands.RecordCrashes(cleared=("f", "unknown"))
+        recorded = self.apply(cleared, 700.0)
+        self.assertEqual(recorded.standings_by_fingerprint, {"f": "clear"})
 
     def clear(self, fingerprint, time):
-        self.apply(crash_commands.NoteCrashes(cleared=(fingerprint,)), time)
+        self.apply(crash_commands.RecordCrashes(cleared=(fingerprint,)), time)
 
-    def held_ids(self):
-        book = crash_commands.section_of(self.state).book
-        known = book.evidence_by_fingerprint
+    def recorded_ids(self):
+        history = crash_commands.section_of(self.state).book
+        known = history.evidence_by_fingerprint
         return {name: set(each.ended_at_by_id) for name, each in known.items()}
 
     @tools.params("at once", "after a snapshot", "cleared twice")
     def test_report_that_is_sent_again(self, name):
-        """A request that was answered is held to be doubtful.
+        """A request that was answered is suspected again.
 
-        A report is committed; its answer is lost with the leader. The request is
-        answered through another gateway, and cleared. The report, sent again to the
-        leader of a later term, counted once more, after the answer.
+        A report is committed, but its acknowledgement is lost with the leader. The
+        request is answered through another gateway and cleared. The report was then
+        resent to the leader of a later term, and counted again after the answer.
         """
         self.report("a", 10.0)
         self.report("b", 10.1)
@@ -137,14 +139,14 @@
             self.clear("f", 10.4)
         self.report("a", 11.0)
         self.report("b", 11.1)
-        self.assertEqual(self.held_ids(), {}, name)
+        self.assertEqual(self.recorded_ids(), {}, name)
         self.report("d", 11.2)
-        self.assertEqual(self.held_ids(), {"f": {"d"}}, name)
+        self.assertEqual(self.recorded_ids(), {"f": {"d"}}, name)
 
     def test_bounded(self):
         for number in range(2 * crash_commands.MAX_CLEARED):
             report = messages.CrashReport(test_quarantine.crash("a", f"f{number}"), 0.0)
-            self.apply(crash_commands.NoteCrashes((report,)), 1.0)
+            self.apply(crash_commands.RecordCrashes((report,)), 1.0)
             self.clear(f"f{number}", 1.0)
         section = crash_commands.section_of(self.state)
         known = list(section.cleared_of_by_fingerprint)
@@ -153,10 +155,10 @@
 
 
 class View:
-    """Stands for a process's copy of what the group holds against requests."""
+    """Fake of a process's copy of the group's crash history."""
 
     def __init__(self):
-        self.crashes = quarantine.Book()
+        self.crashes = quarantine.CrashHistory()
         self.crashes_index = 0
         self.callbacks = []
 
@@ -168,14 +170,14 @@
 
 
 class Calls:
-    """Stands for the way to the group's leader, which takes all that it is told."""
+    """Fake of the calls to the group's leader, which accepts all reports."""
 
     def __init__(self, view, group=None):
         self.view = view
-        # Another than the view's: the view is never told.
+        # If this is not the view's own history, the view is never updated.
         self.group = view.crashes if group is None else group
         self.reports = []
-        # Called while a report is on its way.
+        # Called while a report is in transit.
         self.meanwhile = lambda: None
         self.n_lost_answers = 0
 
@@ -185,7 +187,7 @@
         for fingerprint in message.cleared:
             self.group.clear(fingerprint)
         for each in message.reports:
-            self.group.note(each.crash, 0.0)
+            self.group.record(each.crash, 0.0)
         if self.n_lost_answers:
             self.n_lost_answers -= 1
             return result.Err("lost")
@@ -195,15 +197,15 @@
         return result.Ok(messages.CrashesTaken(self.view.crashes_index))
 
 
-class OwnBook(unittest.TestCase):
-    """What a sender has seen counts until the group is known to have it."""
+class LocalHistory(unittest.TestCase):
+    """A sender counts its own crashes until the group is known to have them."""
 
-    def test_crash_that_is_noted_while_another_is_reported(self):
-        """A request is sent to one more upstream than its sender's evidence allows.
+    def test_crash_recorded_while_another_is_reported(self):
+        """A request is sent to one more upstream than its crash history allows.
 
-        Its first crash is on the way to the group when the second one comes. The
-        group's word that it has the first took both from the sender's own book; of the
-        second, nobody knew until the next report.
+        The second crash of the request is recorded while the first is being reported.
+        The acknowledgement of the first removed both from the sender's own history, and
+        the second counted nowhere until the next report.
         """
         view = View()
         calls = Calls(view)
@@ -211,44 +213,44 @@
 
         def crash_again():
             calls.meanwhile = lambda: None
-            watch.run_broke(broken_run("b"))
+            watch.record_broken_run(broken_run("b"))
             with eventlet.Timeout(5.0):
-                while "b" not in watch.ended_ids():
+                while "b" not in watch.crashed_ids():
                     clock.sleep(0.001)
-            calls.meanwhile = note_ended_ids
+            calls.meanwhile = record_crashed_ids
 
-        def note_ended_ids():
-            known.append(watch.ended_ids())
+        def record_crashed_ids():
+            known.append(watch.crashed_ids())
 
         known = []
         calls.meanwhile = crash_again
         watch.start()
         self.addCleanup(watch.stop)
-        watch.run_broke(broken_run("a"))
+        watch.record_broken_run(broken_run("a"))
         with eventlet.Timeout(5.0):
             while len(calls.reports) < 2:
                 clock.sleep(0.005)
         self.assertEqual(known, [{"a", "b"}])
 
     @tools.params(
-        # Name, answers of the group that are lost; whether the request is answered
-        # while its crash is reported, and cut off once more before.
-        ("while it is told", 0, True, False),
-        ("while it is told, and the group's answer is lost", 1, True, False),
+        # Name, number of lost acknowledgements, whether the request is answered while
+        # its crash is reported, and whether it is cut off once more before.
+        ("while it is reported", 0, True, False),
+        ("while it is reported, and the acknowledgement is lost", 1, True, False),
         ("after one more crash", 0, True, True),
-        ("before the group's word is back", 0, False, False),
+        ("before the view is updated", 0, False, False),
     )
     def test_answer_about_a_crash_that_is_reported(
         self, name, n_lost_answers, is_meanwhile, is_cut_off_again
     ):
-        """A request is held to be doubtful that was answered since its crash.
+        """A request that was answered after its crash is still suspected.
 
-        The crash is on its way to the group, or taken there, when the request is
-        answered. Its sender's copy of the record does not show it yet, so the group was
-        told nothing of the answer: the crash before it counted for ten minutes more.
+        The crash is in transit to the group, or stored there, when the request is
+        answered. The sender's copy of the history does not contain it yet, so the
+        answer was not reported, and the earlier crash counted for ten minutes more.
         """
         view = View()
-        calls = Calls(view, None if is_meanwhile else quarantine.Book())
+        calls = Calls(view, None if is_meanwhile else quarantine.CrashHistory())
         calls.n_lost_answers = n_lost_answers
         watch = crash_watch.CrashWatch(view, calls)
 
@@ -256,7 +258,7 @@
             calls.meanwhile = lambda: None
             if is_cut_off_again:
                 self.cut_off(watch, "b")
-            watch.was_answered(lambda: "f")
+            watch.record_answer(lambda: "f")
 
         if is_meanwhile:
             calls.meanwhile = answer
@@ -270,36 +272,36 @@
         self.assertEqual(calls.group.evidence_by_fingerprint, {}, name)
 
     def cut_off(self, watch, upstream_id):
-        watch.run_broke(broken_run(upstream_id))
-        self.wait_for(lambda: upstream_id in watch.ended_ids())
+        watch.record_broken_run(broken_run(upstream_id))
+        self.wait_for(lambda: upstream_id in watch.crashed_ids())
 
     def wait_for(self, is_so):
         with eventlet.Timeout(5.0):
             while not is_so():
                 clock.sleep(0.001)
 
-    def test_answers_while_one_is_told(self):
-        """The second of two answers is told, too: a crash may lie between them."""
+    def test_answer_while_another_is_reported(self):
+        """The second of two answers is reported too: a crash may lie between them."""
         reports = crash_reports.CrashReports(1)
         reports.clear("f")
-        first = reports.due(0.0, quarantine.Book())
+        first = reports.due(0.0, quarantine.CrashHistory())
         reports.clear("f")
-        reports.reported(first)
-        second = reports.due(0.0, quarantine.Book())
+        reports.acknowledge(first)
+        second = reports.due(0.0, quarantine.CrashHistory())
         self.assertEqual(second.cleared, ("f",))
-        reports.reported(second)
-        self.assertEqual(reports.due(0.0, quarantine.Book()).cleared, ())
+        reports.acknowledge(second)
+        self.assertEqual(reports.due(0.0, quarantine.CrashHistory()).cleared, ())
 
 
 def broken_run(upstream_id):
-    """Return a run that was cut off, at an upstream where nobody listens."""
+    """Return a run that was cut off, at an address where no process listens."""
     address = f"127.0.0.1:{loopback.free_ports(1)[0]}"
     target = fleet_model.FleetUpstream(upstream_id, "s", address, "z", 1)
     return crash_watch.BrokenRun("r", "f", "POST h/x", target, 0.1)
 
 
 class OneTrial(unittest.TestCase):
-    """Copies that come through several gateways at once: one of them is sent."""
+    """Of copies that arrive through several gateways at once, one is sent."""
 
     def setUp(self):
         self.trials = trials.Trials()
@@ -311,13 +313,13 @@
         self.trials.end("f")
         self.assertTrue(self.trials.grant("f", 0.2))
 
-    def test_trial_of_which_nothing_is_heard(self):
+    def test_trial_without_outcome(self):
         self.trials.grant("f", 0.0)
         self.assertFalse(self.trials.grant("f", trials.TRIAL_SECONDS - 0.1))
         self.assertTrue(self.trials.grant("f", trials.TRIAL_SECONDS))
 
     def test_new_leader(self):
-        """The leader before may just have granted one, of what was doubtful then."""
+        """The previous leader may just have granted a trial of a suspected request."""
         self.trials.grant("f", 0.0)
         self.trials.begin(["f"], 1.0)
         self.assertFalse(self.trials.grant("f", 1.0))
--- a/tests/test_relay_quarantine.py
+++ b/tests/test_relay_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that are held to end upstreams, and what their callers are told."""
+"""How the relay treats suspected and quarantined requests, and how it answers."""
 
 import result
 from nose2 import tools
@@ -17,7 +17,7 @@
 
 
 class Group:
-    """Stands for the control group: grants trials or not, and takes reports."""
+    """Fake of the control group, which grants trials or refuses them."""
 
     def __init__(self, grants):
         self.grants = grants
@@ -31,27 +31,35 @@
         return result.Ok(messages.Trial(self.grants))
 
 
-class HeldAgainst(relay_support.RelayCase):
-    """What becomes of a request that upstreams ended under, before and after a run."""
+class CrashesOfRequest(relay_support.RelayCase):
+    """Outcome of a request with a crash history, before and after a run."""
 
-    def hold(self, relay_, ended_ids, n_seconds=1.0):
-        """Have the control group hold ended upstreams against the request."""
+    def record_crashes(self, relay_, ended_ids, n_seconds=1.0):
+        """Store crashes of the request in the control group's history."""
         fingerprint = fingerprints.of_request("POST", "h", "/x?q=1", "", b"body")
-        book = quarantine.Book()
+        history = quarantine.CrashHistory()
         for number, upstream_id in enumerate(ended_ids):
             crash = quarantine.Crash(fingerprint, "", upstream_id)
-            book.note(crash, 100.0 + number * n_seconds)
-        self.view.crashes = book
+            history.record(crash, 100.0 + number * n_seconds)
+        self.view.crashes = history
         relay_._crashes._calls = self.group
 
     @tools.params(
-        # Name, upstreams' scripts, those that ended, whether a trial is granted;
-        # the outcome, the upstreams asked, and whether the group was asked.
-        ("one end", (OK, OK), ("a",), False, "200", [1, 0], 0),
+        # Name, upstreams' scripts, crashed upstreams, whether a trial is granted (None:
+        # no leader); outcome, requests that each upstream received, calls to the group.
+        ("one crash", (OK, OK), ("a",), False, "200", [1, 0], 0),
         ("two, tried", (OK, OK), ("a", "b"), True, "200", [1, 0], 1),
-        ("two, another copy is", (OK, OK), ("a", "b"), False, "come back", [0, 0], 1),
-        ("two, no leader", (OK, OK), ("a", "b"), None, "come back", [0, 0], 1),
-        ("two, the last but one", (OK, OK), ("a", "u1"), True, "come back", [0, 0], 0),
+        ("two, another copy is", (OK, OK), ("a", "b"), False, "retry later", [0, 0], 1),
+        ("two, no leader", (OK, OK), ("a", "b"), None, "retry later", [0, 0], 1),
+        (
+            "two, the last but one",
+            (OK, OK),
+            ("a", "u1"),
+            True,
+            "retry later",
+            [0, 0],
+            0,
+        ),
         ("two, the only one", (OK,), ("a", "b"), True, "200", [1], 1),
         ("two, tried at one only", (close, OK), ("a", "b"), True, "ran", [1, 0], 1),
         ("two, a full one first", (FULL, OK), ("a", "b"), True, "200", [1, 1], 1),
@@ -60,7 +68,7 @@
     def test_outcome(self, name, scripts, ended, grants, expected, received, n_asked):
         self.group = Group(grants)
         relay_ = self.relay(*scripts)
-        self.hold(relay_, ended)
+        self.record_crashes(relay_, ended)
         given = self.handle(relay_)
         self.assertEqual(self.outcome(given), expected, name)
         self.assertEqual(self.n_received(), received, name)
@@ -75,17 +83,18 @@
             return "ran"
         least, most = courses.DOUBTFUL_RETRY_RANGE
         self.assertTrue(least <= given.retry_after_seconds <= most)
-        return "come back"
+        return "retry later"
 
-    def test_verdict_between_two_attempts(self):
-        """Others see the third end while the first attempt is under way.
+    def test_quarantined_between_two_attempts(self):
+        """A request is quarantined while its first attempt runs, and is sent again.
 
-        The copy that is on its way to the next upstream has to be stopped as well.
+        Other gateways report the third crash during the attempt. The next attempt of
+        the same request must not be sent.
         """
         self.group = Group(True)
 
         def fail(connection, received):
-            self.hold(relay_, ("a", "b", "c"))
+            self.record_crashes(relay_, ("a", "b", "c"))
             return FAILED(connection, received)
 
         relay_ = self.relay(fail, OK)
--- a/tests/test_requests_crashes.py
+++ b/tests/test_requests_crashes.py
@@ -1,8 +1,8 @@
-"""Calls that end the upstreams that run them, through one gateway of the daemon.
+"""Crash-causing calls through the daemon's gateways take down an application.
 
-A caller sends such a call again and again. Each of its attempts is tried at several
-upstreams, since nothing is remembered of the call beyond its answer, and all upstreams
-of the application end, each time that they are back.
+A caller retries such a call. Without a crash history each of its attempts is tried at
+several upstreams, and all upstreams of the application crash each time they have
+restarted.
 """
 
 import eventlet
@@ -16,7 +16,7 @@
 MARK = "ends whatever runs it"
 N_UPSTREAMS = 3
 N_ROUNDS = 6
-# Until its caller sends it again, and until an upstream that it ends is gone.
+# Delay until the caller retries a call, and time from the start of a run to the crash.
 PAUSE_SECONDS = 1.0
 RUN_SECONDS = 0.03
 
@@ -24,17 +24,17 @@
 class Crashing(dispatching.Gateway):
     def setUp(self):
         super().setUp()
-        self.n_ended = 0
+        self.n_crashed = 0
 
     def put(self, kind, number):
-        """Start an upstream, or start it again."""
+        """Start or restart an upstream."""
         name = f"{kind}-{number}"
 
         def run(connection, received):
             is_marked = MARK.encode() in received.body
             if is_marked:
                 eventlet.sleep(RUN_SECONDS)
-                self.n_ended += 1
+                self.n_crashed += 1
                 server.stop()
             elif kind == "engine":
                 connection.sendall(scripted.whole_stream(received))
@@ -71,8 +71,8 @@
         return answer.err_value.reason if isinstance(answer, result.Err) else None
 
     @tools.params("application", "engine")
-    def test_comes_again(self, kind):
-        """Three upstreams are the most that it may end; others go on being served."""
+    def test_retried(self, kind):
+        """A retried call crashes at most three upstreams; others are served."""
         for number in range(N_ROUNDS):
             self.put_all(kind)
             failed = self.call(kind, MARK, number)
@@ -80,14 +80,15 @@
             self.put_all(kind)
             self.assertIsNone(self.call(kind, "innocent", number))
             clock.sleep(PAUSE_SECONDS)
-        self.assertEqual(self.n_ended, quarantine.N_FOR_QUARANTINE)
+        self.assertEqual(self.n_crashed, quarantine.QUARANTINE_THRESHOLD)
         self.assertEqual(failed, reasons.Reason.REQUEST_QUARANTINED)
 
     @tools.params("application", "engine")
-    def test_comes_again_through_other_gateways(self, kind):
-        """Each gateway sees one crash in three; what they have seen counts together.
+    def test_retried_through_other_gateways(self, kind):
+        """A call crashes more upstreams if it is retried through three gateways.
 
-        Else three gateways let a call end nine upstreams.
+        Each gateway detects one crash in three, and these have to count together. If
+        each gateway counted by itself, the call would crash nine upstreams.
         """
         dispatchers = [self.dispatcher, *(self.start_dispatcher() for _ in range(2))]
         for number in range(2 * N_ROUNDS):
@@ -96,7 +97,7 @@
             failed = self.call(kind, MARK, number, asked)
             self.assertIsNotNone(failed)
             clock.sleep(PAUSE_SECONDS)
-        self.assertEqual(self.n_ended, quarantine.N_FOR_QUARANTINE)
+        self.assertEqual(self.n_crashed, quarantine.QUARANTINE_THRESHOLD)
         self.put_all(kind)
         for each in dispatchers:
             refused = self.call(kind, MARK, 99, each)
