--- a/bilberrydrum/relay/crash_reports.py
+++ b/bilberrydrum/relay/crash_reports.py
@@ -109,7 +109,7 @@
             default=float("inf"),
         )
 
-    def acknowledge(self, report: messages.ReportCrashes) -> None:
+    def remove_acknowledged(self, report: messages.ReportCrashes) -> None:
         """Remove what the control group has received with a report."""
         for each in report.reports:
             fingerprint = each.crash.fingerprint
--- a/bilberrydrum/relay/crash_watch.py
+++ b/bilberrydrum/relay/crash_watch.py
@@ -301,7 +301,7 @@
         answer = self._calls.call(report, _REPORT_SECONDS)
         if not isinstance(answer, result.Ok):
             return False
-        self._reports.acknowledge(report)
+        self._reports.remove_acknowledged(report)
         index = answer.ok_value.crashes_index
         for each in report.reports:
             # A crash recorded while the report was sent is not part of it. If the
--- a/tests/test_quarantine_reports.py
+++ b/tests/test_quarantine_reports.py
@@ -58,7 +58,7 @@
         second = reports.due(3.0, quarantine.CrashHistory())
         ages = [each.age_seconds for each in second.reports]
         self.assertEqual(ages, [3.0, 2.0])
-        reports.acknowledge(first)
+        reports.remove_acknowledged(first)
         left = reports.due(9.0, quarantine.CrashHistory()).reports
         self.assertEqual([each.crash for each in left], [test_quarantine.crash("b")])
 
@@ -286,10 +286,10 @@
         reports.clear("f")
         first = reports.due(0.0, quarantine.CrashHistory())
         reports.clear("f")
-        reports.acknowledge(first)
+        reports.remove_acknowledged(first)
         second = reports.due(0.0, quarantine.CrashHistory())
         self.assertEqual(second.cleared, ("f",))
-        reports.acknowledge(second)
+        reports.remove_acknowledged(second)
         self.assertEqual(reports.due(0.0, quarantine.CrashHistory()).cleared, ())
 
 
