--- a/bilberrydrum/batches/item_run.py
+++ b/bilberrydrum/batches/item_run.py
@@ -9,7 +9,7 @@
 from bilberrydrum import clock, event_stream, reasons, upstream_protocol
 from bilberrydrum.batches import model, texts
 from bilberrydrum.fleet import model as fleet_model
-from bilberrydrum.requests import attempts, examination, outgoing_requests
+from bilberrydrum.requests import attempts, crash_probe, outgoing_requests
 
 # An engine that doesn't send the head of its answer within this time, in seconds, is
 # treated as hanging. Items are sent only to engines with a free run slot, where the
--- a/bilberrydrum/batches/item_sender.py
+++ b/bilberrydrum/batches/item_sender.py
@@ -128,9 +128,9 @@
                 crash_watch.subject_of("POST", opened.batch.host, run.item.target),
                 engine.upstream,
                 seconds,
-                was_well=run.has_survived(),
+                was_healthy=run.has_survived(),
             )
-            self._crashes.run_broke(broken)
+            self._crashes.record_broken_run(broken)
 
     def _fingerprint(self, opened: work.OpenBatch, run: lifecycle.ItemRun) -> str:
         """Return a digest that is the same each time the same work is requested."""
--- a/bilberrydrum/relay/streams.py
+++ b/bilberrydrum/relay/streams.py
@@ -75,7 +75,7 @@
         """
         if self.first_event_at is None:
             return False
-        return clock.now() - self.first_event_at >= quarantine.SURVIVED_SECONDS
+        return clock.now() - self.first_event_at >= quarantine.HEALTHY_RUN_SECONDS
 
 
 class StreamRelay:
--- a/tests/fakes/engine_crashes.py
+++ b/tests/fakes/engine_crashes.py
@@ -101,10 +101,10 @@
             return
         start = f"{id(engine)}-{engine.n_starts}"
         for run in engine.runs:
-            if self._now - run.began_at >= quarantine.SURVIVED_SECONDS:
+            if self._now - run.began_at >= quarantine.HEALTHY_RUN_SECONDS:
                 self.book.clear(run.name)
             else:
-                self.book.note(quarantine.Crash(run.name, "", start), self._now)
+                self.book.record(quarantine.Crash(run.name, "", start), self._now)
             if self.book.standing(run.name) is quarantine.Standing.QUARANTINED:
                 self.quarantined.add(run.name)
             self._waiting.append(run.name)
