--- a/bilberrydrum/batches/item_run.py
+++ b/bilberrydrum/batches/item_run.py
@@ -187,7 +187,7 @@
 
 
 def _without_answer(error: attempts.AttemptError) -> AttemptResult:
-    is_cut_off = error.may_have_run and error.reason in examination.BROKEN
+    is_cut_off = error.may_have_run and error.reason in crash_probe.BROKEN_REASONS
     detail = f"{error.reason.value} {error.detail}".strip()
     return AttemptResult(_outcome_of(error), detail, is_cut_off=is_cut_off)
 
--- a/bilberrydrum/batches/item_sender.py
+++ b/bilberrydrum/batches/item_sender.py
@@ -120,7 +120,7 @@
         """Report a crash during the attempt, or clear the item of earlier ones."""
         is_complete = attempt_result.outcome is item_run.Outcome.COMPLETED
         if is_complete or run.has_survived():
-            self._crashes.was_answered(lambda: self._fingerprint(opened, run))
+            self._crashes.record_answer(lambda: self._fingerprint(opened, run))
         if attempt_result.is_cut_off:
             broken = crash_watch.BrokenRun(
                 run.item.item_id,
--- a/bilberrydrum/relay/relay.py
+++ b/bilberrydrum/relay/relay.py
@@ -26,7 +26,7 @@
     relayed_requests,
     trial,
 )
-from bilberrydrum.requests import attempts, examination, outgoing_requests
+from bilberrydrum.requests import attempts, crash_probe, outgoing_requests
 from bilberrydrum.requests import model as request_model
 from bilberrydrum.usage import meter as usage_meter
 
@@ -325,7 +325,7 @@
         self._balancer.succeeded(attempt.upstream_id, head, clock.now())
         if self._hedging is not None:
             self._hedging.record_latency(request.service, attempt.seconds())
-        self._crashes.was_answered(request.fingerprint)
+        self._crashes.record_answer(request.fingerprint)
         if answer.status == _FAILED_STATUS:
             request.n_failures += 1
         if answer.status >= 500 and request.may_run_again and request.may_attempt():
@@ -366,9 +366,9 @@
             self._balancer.failed(attempt.upstream_id, clock.now())
         if error.reason in relayed_requests.FINAL_REASONS:
             request.stop()
-        if error.may_have_run and error.reason in examination.BROKEN:
+        if error.may_have_run and error.reason in crash_probe.BROKEN_REASONS:
             broken = request.broken_run(attempt.upstream, attempt.seconds())
-            self._crashes.run_broke(broken)
+            self._crashes.record_broken_run(broken)
         request.record_failure(attempt.upstream_id, error.reason, self._view)
         return None
 
--- a/bilberrydrum/relay/streams.py
+++ b/bilberrydrum/relay/streams.py
@@ -25,7 +25,7 @@
 from bilberrydrum.fleet import model as fleet_model
 from bilberrydrum.fleet import policy, subscriber
 from bilberrydrum.relay import balancing, crash_watch, model, relayed_requests, trial
-from bilberrydrum.requests import attempts, examination, outgoing_requests
+from bilberrydrum.requests import attempts, crash_probe, outgoing_requests
 from bilberrydrum.usage import meter as usage_meter
 
 _OK: Final = 200
@@ -278,7 +278,7 @@
             raise event_stream.EventError("stream ended without an event")
         head = self._protocol.read_head(source.answer.headers)
         self._balancer.succeeded(source.upstream.upstream_id, head, clock.now())
-        self._crashes.was_answered(request.fingerprint)
+        self._crashes.record_answer(request.fingerprint)
 
     def _release(self, source: _Source) -> None:
         """Close the connection, which cancels the work at the upstream."""
@@ -306,10 +306,10 @@
         reason: reasons.Reason,
     ) -> None:
         if request.has_survived():
-            self._crashes.was_answered(request.fingerprint)
-        elif reason in examination.BROKEN:
+            self._crashes.record_answer(request.fingerprint)
+        elif reason in crash_probe.BROKEN_REASONS:
             seconds = clock.now() - request.attempt_began_at
-            self._crashes.run_broke(request.broken_run(upstream, seconds))
+            self._crashes.record_broken_run(request.broken_run(upstream, seconds))
 
     def _handle_failure(
         self,
--- a/tests/fakes/engine_crashes.py
+++ b/tests/fakes/engine_crashes.py
@@ -39,7 +39,7 @@
 
     Parameters
     ----------
-    book : quarantine.Book
+    history : quarantine.CrashHistory
         Records the crashes and decides which items may be sent.
     seed : int
         Seed of the random numbers.
@@ -54,9 +54,13 @@
     N_ITEMS = 40
 
     def __init__(
-        self, book: quarantine.Book, seed: int, burst_seconds: float, n_culprits: int
+        self,
+        history: quarantine.CrashHistory,
+        seed: int,
+        burst_seconds: float,
+        n_culprits: int,
     ) -> None:
-        self.book = book
+        self.history = history
         self._rng = random.Random(seed)
         self._burst_seconds = burst_seconds
         self._engines = [_Engine() for _ in range(self.N_ENGINES)]
@@ -91,7 +95,7 @@
                 continue
             for run in [each for each in engine.runs if each.ends_at <= self._now]:
                 engine.runs.remove(run)
-                self.book.clear(run.name)
+                self.history.clear(run.name)
                 # A new item replaces the finished one.
                 self._n_new += 1
                 self._waiting.append(f"item-{self._n_new}")
@@ -102,10 +106,10 @@
         start = f"{id(engine)}-{engine.n_starts}"
         for run in engine.runs:
             if self._now - run.began_at >= quarantine.HEALTHY_RUN_SECONDS:
-                self.book.clear(run.name)
+                self.history.clear(run.name)
             else:
-                self.book.record(quarantine.Crash(run.name, "", start), self._now)
-            if self.book.standing(run.name) is quarantine.Standing.QUARANTINED:
+                self.history.record(quarantine.Crash(run.name, "", start), self._now)
+            if self.history.standing(run.name) is quarantine.Standing.QUARANTINED:
                 self.quarantined.add(run.name)
             self._waiting.append(run.name)
         engine.runs = []
@@ -120,7 +124,7 @@
                 for each in self._engines
                 if each.up_from <= self._now and len(each.runs) < self.N_SLOTS
             ]
-            standing = self.book.standing(name)
+            standing = self.history.standing(name)
             if standing is quarantine.Standing.DOUBTFUL:
                 up = [each for each in up if not self._has_suspected(each)]
             if not up or standing is quarantine.Standing.QUARANTINED:
@@ -132,4 +136,4 @@
         self._waiting = kept
 
     def _has_suspected(self, engine: _Engine) -> bool:
-        return any(self.book.standing(each.name) for each in engine.runs)
+        return any(self.history.standing(each.name) for each in engine.runs)
--- a/tests/test_batches_item_crashes.py
+++ b/tests/test_batches_item_crashes.py
@@ -26,21 +26,23 @@
 
 
 class ItemCrashes(unittest.TestCase):
-    def play(self, seed, storm_seconds, n_guilty):
-        book = quarantine.Book(is_crowded=True)
-        play = engine_crashes.EngineCrashes(book, seed, storm_seconds, n_guilty)
-        play.run()
-        return play
+    def simulate(self, seed, burst_seconds, n_crashing):
+        history = quarantine.CrashHistory(is_crowded=True)
+        simulation = engine_crashes.EngineCrashes(
+            history, seed, burst_seconds, n_crashing
+        )
+        simulation.run()
+        return simulation
 
     @tools.params(4.0, 8.0, 16.0)
-    def test_storm(self, storm_seconds):
+    def test_burst_of_crashes(self, burst_seconds):
         """No item is quarantined, however often engines crash."""
         for seed in range(40):
-            simulation = self.simulate(seed, storm_seconds, n_crashing=0)
+            simulation = self.simulate(seed, burst_seconds, n_crashing=0)
             self.assertEqual(simulation.quarantined, set(), seed)
 
     @tools.params(
-        # Crash-causing items, duration of the storm of crashes in seconds, seeds.
+        # Crash-causing items, duration of the burst of crashes in seconds, seeds.
         (1, 0.0, 40),
         (1, 8.0, 40),
         (2, 0.0, 20),
@@ -48,18 +50,18 @@
         (3, 8.0, 20),
         (5, 0.0, 20),
     )
-    def test_crashing_items(self, n_crashing, storm_seconds, n_seeds):
+    def test_crashing_items(self, n_crashing, burst_seconds, n_seeds):
         """An item is cut off by three crashes, and three more are tolerated."""
         for seed in range(n_seeds):
-            play = self.play(seed, storm_seconds, n_guilty)
-            self.assertEqual(play.quarantined, play.culprits, seed)
-            for name, n_ended in play.n_crashed_by_name.items():
-                self.assertLessEqual(n_ended, MOST_ENDED, (seed, name))
+            simulation = self.simulate(seed, burst_seconds, n_crashing)
+            self.assertEqual(simulation.quarantined, simulation.culprits, seed)
+            for name, n_crashed in simulation.n_crashed_by_name.items():
+                self.assertLessEqual(n_crashed, MAX_CRASHED, (seed, name))
 
     def test_more_crashing_items_than_engines(self):
         """Most of the time engines are down; each item still keeps to the bound."""
         for seed in range(8):
-            play = self.play(seed, 0.0, 8)
-            self.assertLessEqual(play.quarantined, play.culprits, seed)
-            for name, n_ended in play.n_crashed_by_name.items():
-                self.assertLessEqual(n_ended, MOST_ENDED, (seed, name))
+            simulation = self.simulate(seed, 0.0, 8)
+            self.assertLessEqual(simulation.quarantined, simulation.culprits, seed)
+            for name, n_crashed in simulation.n_crashed_by_name.items():
+                self.assertLessEqual(n_crashed, MAX_CRASHED, (seed, name))
