--- a/bilberrydrum/batches/commands.py
+++ b/bilberrydrum/batches/commands.py
@@ -1,7 +1,8 @@
-"""The stores' state: batches by id, their results and ends.
+"""Commands on the batches section of the stores' replicated state.
 
-A batch is kept while it is open, and for the retention after its submission, so that
-memory and disk stay flat however long the day is.
+The section holds the batches by id, with their results and whether they have ended. A
+batch is kept while it is open and until its retention time has passed since its
+submission, so that memory and disk use do not grow with uptime.
 """
 
 from collections.abc import Iterable
@@ -19,7 +20,7 @@
 @codec.register("batches.section")
 @attrs.define
 class Section:
-    """All batches, the oldest first."""
+    """All stored batches, the oldest first."""
 
     batches_by_id: dict[str, model.KeptBatch] = attrs.field(factory=dict)
 
@@ -33,20 +34,20 @@
 @codec.register("batches.accept")
 @attrs.frozen
 class AcceptBatch:
-    """Keep a batch from now on; a second time it changes nothing."""
+    """Store a new batch; no effect if it is already stored."""
 
     batch_id: str
     n_items: int
-    # Made by `model.pack_batch`; not looked into here.
+    # Made by `model.pack_batch`; not decoded here.
     data: bytes
-    # Ended batches older than this, in seconds, are dropped.
+    # Ended batches that were submitted longer ago than this, in seconds, are deleted.
     retention_seconds: float
 
 
 @codec.register("batches.accepted")
 @attrs.frozen
 class Accepted:
-    """The batch is kept."""
+    """Answer to `AcceptBatch`: the batch is stored."""
 
     is_new: bool
 
@@ -54,7 +55,7 @@
 @codec.register("batches.score")
 @attrs.frozen
 class Score:
-    """The score of a whole text that is kept."""
+    """The score of a complete text that is stored."""
 
     item_id: str
     # Signature of the answer to the item's scoring request.
@@ -64,43 +65,44 @@
 @codec.register("batches.finish")
 @attrs.frozen
 class FinishItems:
-    """Note how far items of a batch are; those that have a result are passed over.
+    """Record results, complete texts and scores of a batch's items.
 
-    An item's text comes before its score, in an earlier command or in the same one.
+    Items that already have a result are skipped. An item's text must precede its score,
+    in an earlier command or in the same one.
     """
 
     batch_id: str
     # Appended to the batch's results.
     results: tuple[model.Result, ...] = ()
-    # Whole texts that wait for their score.
+    # Complete texts that wait for their score.
     unscored: tuple[model.Result, ...] = ()
-    # With these, texts that are kept are appended to the results.
+    # Scores of stored texts, each of which is appended to the results with its score.
     scores: tuple[Score, ...] = ()
 
     def finished_ids(self) -> list[str]:
-        """Return the items that have a result by this."""
+        """Return the ids of the items that this command gives a result."""
         by_result = [each.item_id for each in self.results]
         return by_result + [each.item_id for each in self.scores]
 
 
-def joined(given: Iterable[FinishItems]) -> list[FinishItems]:
-    """Return one command for each batch that says what `given` say in their order."""
-    joined_by_batch: dict[str, FinishItems] = {}
+def merge_by_batch(given: Iterable[FinishItems]) -> list[FinishItems]:
+    """Return one command per batch that has the effect of `given` in their order."""
+    merged_by_batch: dict[str, FinishItems] = {}
     for each in given:
-        known = joined_by_batch.get(each.batch_id, FinishItems(each.batch_id))
-        joined_by_batch[each.batch_id] = FinishItems(
+        known = merged_by_batch.get(each.batch_id, FinishItems(each.batch_id))
+        merged_by_batch[each.batch_id] = FinishItems(
             each.batch_id,
             known.results + each.results,
             known.unscored + each.unscored,
             known.scores + each.scores,
         )
-    return list(joined_by_batch.values())
+    return list(merged_by_batch.values())
 
 
 @codec.register("batches.finished")
 @attrs.frozen
 class Finished:
-    """How many results were appended."""
+    """Answer to `FinishItems`."""
 
     n_appended: int
 
@@ -108,7 +110,7 @@
 @codec.register("batches.save-progress")
 @attrs.frozen
 class SaveProgress:
-    """Keep what has been generated of unfinished items."""
+    """Store what has been generated of unfinished items."""
 
     batch_id: str
     progress: tuple[model.Progress, ...]
@@ -117,21 +119,21 @@
 @codec.register("batches.progress-saved")
 @attrs.frozen
 class ProgressSaved:
-    """Which texts are kept now up to the events that were given."""
+    """Answer to `SaveProgress`: the items whose given events were stored."""
 
-    # That of the log entry.
+    # Index of the log entry.
     index: int
     item_ids: tuple[str, ...] = ()
 
-    def kept_by(self, item_id: str) -> int:
-        """Return the index of the entry by which an item's text is kept; 0: none."""
+    def saved_index(self, item_id: str) -> int:
+        """Return the index of the entry if it stored the item's events, else 0."""
         return self.index if item_id in self.item_ids else 0
 
 
 @codec.register("batches.end")
 @attrs.frozen
 class EndBatch:
-    """No more items of a batch are to run."""
+    """End a batch, so that no more of its items run."""
 
     batch_id: str
 
@@ -139,7 +141,7 @@
 @codec.register("batches.ended")
 @attrs.frozen
 class Ended:
-    """The batch has ended, or is not known."""
+    """Answer to `EndBatch`: the batch has ended, or is not known."""
 
     is_known: bool
 
@@ -147,7 +149,7 @@
 @machine.apply.register
 def _(command: AcceptBatch, state: machine.State, context: machine.Context) -> Accepted:
     section = section_of(state)
-    _drop_old(section, context.time - command.retention_seconds)
+    _drop_expired(section, context.time - command.retention_seconds)
     if command.batch_id in section.batches_by_id:
         return Accepted(False)
     section.batches_by_id[command.batch_id] = model.KeptBatch(
@@ -156,7 +158,7 @@
     return Accepted(True)
 
 
-def _drop_old(section: Section, since: float) -> None:
+def _drop_expired(section: Section, since: float) -> None:
     for batch_id, kept in list(section.batches_by_id.items()):
         if kept.submitted_at >= since:
             return
@@ -173,19 +175,22 @@
     finished = kept.finished_ids()
     for text in command.unscored:
         if text.item_id not in finished:
-            kept.forget_unfinished(text.item_id)
+            kept.discard_unfinished(text.item_id)
             kept.unscored_by_item_id[text.item_id] = text
-    for result in [*_scored(kept, command.scores), *command.results]:
-        # Run twice, by two leaders or after a lost answer, an item is listed once.
+    for result in [*_scored_results(kept, command.scores), *command.results]:
+        # An item may have run twice, under two leaders or after a lost answer. Only its
+        # first result is listed.
         if result.item_id not in finished:
             finished.add(result.item_id)
             kept.results.append(result)
-            kept.forget_unfinished(result.item_id)
+            kept.discard_unfinished(result.item_id)
     return Finished(len(kept.results) - n_before)
 
 
-def _scored(kept: model.KeptBatch, scores: tuple[Score, ...]) -> list[model.Result]:
-    """Return the results made of kept texts and their scores."""
+def _scored_results(
+    kept: model.KeptBatch, scores: tuple[Score, ...]
+) -> list[model.Result]:
+    """Return the results that combine stored texts with their scores."""
     results = []
     for each in scores:
         text = kept.unscored_by_item_id.get(each.item_id)
@@ -204,9 +209,9 @@
     finished = kept.finished_ids()
     saved = []
     for given in command.progress:
-        is_whole = given.item_id in kept.unscored_by_item_id
-        # Kept late, it would be a part of what is whole already.
-        if given.item_id in finished or is_whole:
+        is_complete = given.item_id in kept.unscored_by_item_id
+        # A late save must not add a partial text next to the complete one.
+        if given.item_id in finished or is_complete:
             continue
         known = kept.progress_by_item_id.get(given.item_id)
         joined = model.KeptProgress.of(given, known, context.index)
--- a/bilberrydrum/batches/engines.py
+++ b/bilberrydrum/batches/engines.py
@@ -105,14 +105,14 @@
     def begin(self, run: lifecycle.ItemRun) -> None:
         """Note that an item is sent."""
         self.n_running += 1
-        self.n_doubtful += run.is_doubtful
+        self.n_doubtful += run.is_suspected
         self.n_tokens += run.n_expected_tokens()
         self.n_by_group[run.group_key] += 1
 
     def end(self, run: lifecycle.ItemRun) -> None:
         """Note that an item's attempt has ended."""
         self.n_running -= 1
-        self.n_doubtful -= run.is_doubtful
+        self.n_doubtful -= run.is_suspected
         self.n_tokens -= run.n_expected_tokens()
         self.n_by_group[run.group_key] -= 1
         if not self.n_by_group[run.group_key]:
@@ -154,10 +154,10 @@
 
     def place(
         self, shares: engine_shares.Shares, slow_ids: frozenset[str] = frozenset()
-    ) -> scheduling.Place:
+    ) -> scheduling.EngineCapacity:
         """Return what the choice for items needs."""
         loading = frozenset({self.loading.model} if self.loading else ())
-        return scheduling.Place(
+        return scheduling.EngineCapacity(
             self.upstream_id,
             self.upstream.service,
             PROBE_SLOTS if self.was_slow else self.upstream.n_slots,
--- a/bilberrydrum/batches/hooks.py
+++ b/bilberrydrum/batches/hooks.py
@@ -1,4 +1,4 @@
-"""What running items needs of the process around it."""
+"""Callbacks through which the batch runner reaches the process that runs it."""
 
 from collections.abc import Callable
 
@@ -9,22 +9,25 @@
 
 @attrs.frozen
 class Hooks:
-    """Functions and facts of the leading process.
+    """Callbacks and identity of the leading process.
 
-    What is handed over is committed in the order in which it is handed over.
+    `finish`, `keep_text` and `score` queue an update of an item. The updates are
+    committed in the order in which they were queued. The first argument of each, and of
+    `save`, is the batch's id.
     """
 
-    # Hand over an item's result.
+    # Queue an item's result.
     finish: Callable[[str, model.Result], None]
-    # Hand over a whole text that waits for its score.
+    # Queue a complete text that waits for its score.
     keep_text: Callable[[str, model.Result], None]
-    # Hand over the score of a text that was handed over: batch, item, score.
+    # Queue the score of a text that `keep_text` has queued: batch id, item id, score.
     score: Callable[[str, str, str], None]
-    # Hand over unfinished texts, to be kept; not in order with the others. Each save is
-    # told its end.
+    # Store unfinished texts, in no order relative to the queued updates. `Save.end` is
+    # called on each save with the outcome.
     save: Callable[[str, tuple[texts.Save, ...]], None]
-    # The number for an order sent now; None: this process gives no orders.
+    # Fencing number for an order sent now; None: this process may not send orders.
     fencing_number: Callable[[], int | None]
     # Whether this process may still send items.
     may_send: Callable[[], bool]
+    # Id of this process, by which engines identify the sender of an order.
     holder: str
--- a/bilberrydrum/batches/item_sender.py
+++ b/bilberrydrum/batches/item_sender.py
@@ -59,7 +59,7 @@
         self, opened: work.OpenBatch, run: lifecycle.ItemRun, engine: engines.Engine
     ) -> None:
         """Start an attempt at `engine`."""
-        run.is_doubtful = bool(self.standing(opened, run))
+        run.is_suspected = bool(self.standing(opened, run))
         run.begin_generating(engine.upstream_id)
         engine.begin(run)
         key = (opened.batch.batch_id, run.item.item_id)
@@ -103,7 +103,7 @@
         _log_attempt(opened, run, engine, ended, seconds)
         if ended.outcome is item_run.Outcome.COMPLETED and not n_before:
             n_expected = run.n_expected_output_tokens()
-            self._pace.note(n_expected, len(run.text.parts), seconds)
+            self._pace.record(n_expected, len(run.text.parts), seconds)
         self._settle(opened, run, engine, ended)
         self._tell_crashes(opened, run, engine, ended, seconds)
 
@@ -254,7 +254,7 @@
         if run.item.scoring is None:
             self._finish(opened, run, result, "completed")
             return
-        run.take_whole_text(result)
+        run.set_complete_text(result)
         self._hooks.keep_text(opened.batch.batch_id, result)
 
     def _failed(
@@ -311,5 +311,5 @@
 
 
 def _note_pause(run: lifecycle.ItemRun, engine: engines.Engine, seconds: float) -> None:
-    run.note_pause(seconds)
+    run.record_pause(seconds)
     engine.note_pause(seconds, clock.now())
--- a/bilberrydrum/batches/lifecycle.py
+++ b/bilberrydrum/batches/lifecycle.py
@@ -1,12 +1,13 @@
-"""The way of one item of an open batch, from waiting to its result.
+"""The stages of one item of an open batch, from waiting to its result.
 
     WAITING -> GENERATING -> FINISHED                     an item that is not scored
     WAITING -> GENERATING -> UNSCORED -> SCORING -> FINISHED
 
-An attempt that breaks off leads back: from GENERATING to WAITING, from SCORING to
-UNSCORED. An item that is given up is FINISHED from wherever it is. A text that is whole
-is never generated again: UNSCORED is kept by the stores' group, and a new leader goes
-on from there. Nothing leads out of FINISHED, whatever an attempt under way still says.
+An attempt that fails or is cancelled returns the item from GENERATING to WAITING, or
+from SCORING to UNSCORED. An item that is given up goes to FINISHED from any stage. A
+complete text is never generated again: the stores' group keeps the texts of UNSCORED
+items, and a new leader continues from them. FINISHED is final: an attempt that ends
+later does not change it.
 """
 
 import enum
@@ -17,121 +18,123 @@
 from bilberrydrum import quarantine
 from bilberrydrum.batches import model, texts
 
-# An item does not go back to an engine that it failed at for this long, in seconds, if
-# that engine is the only one; others take it at once.
+# An item is not sent again to an engine at which it failed for this long, in seconds.
+# Other engines may run it at once, so the item waits only if there is no other.
 EXCLUDED_SECONDS: Final = 1.0
 
 
 class Stage(enum.Enum):
-    """How far an item is."""
+    """The stage of an item."""
 
-    # For a place at an engine.
+    # The item waits for engine capacity.
     WAITING = "waiting"
     GENERATING = "generating"
-    # Its text is whole; its scoring request is yet to be made, or made again.
+    # The text is complete and its scoring request has yet to be sent or retried.
     UNSCORED = "unscored"
     SCORING = "scoring"
-    # Its result is committed, or handed over to be.
+    # The result is committed, or queued for commit.
     FINISHED = "finished"
 
 
 @attrs.define(eq=False)
 class ItemRun:
-    """One item of an open batch."""
+    """The state of one item of an open batch, in the runner's memory."""
 
     item: model.Item
     group_key: tuple[str, str]
     text: texts.Text = attrs.field(factory=texts.Text)
     stage: Stage = Stage.WAITING
-    # Runs that the engine ended with a failure of its own.
+    # Attempts that an engine answered with an error.
     n_failures: int = 0
-    # Failures of their own by which services answered the scoring request.
+    # Errors with which services answered the scoring request.
     n_scoring_failures: int = 0
-    # Not sent, to an engine or to be scored, before this time.
+    # Neither the item nor its scoring request is sent before this time.
     not_before: float = float("-inf")
-    # The engine that the last attempt failed at, and how long it is passed over.
+    # The engine at which the last attempt failed, and the time until which it is
+    # excluded.
     excluded_id: str = ""
     excluded_until: float = float("-inf")
-    # The engine that it runs at; empty: none.
+    # The engine at which the item runs; empty: none.
     engine_id: str = ""
-    # Times that it was taken away from a slow engine.
+    # Number of times that the item was moved away from a slow engine.
     n_moves: int = 0
-    # Time from the first event of the attempt under way to its last, in seconds.
+    # Time from the first to the last event of the current attempt, in seconds.
     generating_seconds: float = 0.0
-    # It was doubtful when the attempt under way was sent (see `quarantine`).
-    is_doubtful: bool = False
-    # What is the same whenever its work is asked for; empty: not worked out yet.
+    # Whether the item was suspected of crashing engines (see `quarantine`) when the
+    # current attempt was sent.
+    is_suspected: bool = False
+    # Identifies the item's work across submissions; empty: not computed yet.
     fingerprint: str = ""
-    # The whole text, while it is UNSCORED or SCORING.
+    # The complete text while the stage is UNSCORED or SCORING.
     unscored: model.Result | None = None
 
     @property
     def is_finished(self) -> bool:
-        """Whether there is a result."""
+        """Whether the item has a result."""
         return self.stage is Stage.FINISHED
 
     def begin_generating(self, engine_id: str) -> None:
-        """Note an attempt at an engine."""
+        """Record that an attempt at an engine begins."""
         self.stage = Stage.GENERATING
         self.engine_id = engine_id
         self.generating_seconds = 0.0
 
-    def note_pause(self, seconds: float) -> None:
-        """Note the pause before an event, but the first of an attempt."""
+    def record_pause(self, seconds: float) -> None:
+        """Record the pause, in seconds, before an event after an attempt's first."""
         self.generating_seconds += seconds
 
     def has_survived(self) -> bool:
-        """Tell whether the attempt was well for so long that it clears the item."""
+        """Return whether the attempt ran long enough to clear the item of suspicion."""
         return self.generating_seconds >= quarantine.SURVIVED_SECONDS
 
     def end_generating(self) -> None:
-        """Note that the attempt at an engine has ended, however."""
+        """Record that the attempt at an engine has ended, with any outcome."""
         self.engine_id = ""
         if self.stage is Stage.GENERATING:
             self.stage = Stage.WAITING
 
-    def take_whole_text(self, unscored: model.Result) -> None:
-        """Note that the text is whole and waits for its score."""
+    def set_complete_text(self, unscored: model.Result) -> None:
+        """Record the complete text, which waits for its score."""
         if self.is_finished:
             return
         self.stage = Stage.UNSCORED
         self.unscored = unscored
-        # The result has it; kept twice, texts were a third of the memory.
+        # `unscored` holds the text. Holding it twice took a third of the memory.
         self.text = texts.Text()
 
     def begin_scoring(self) -> None:
-        """Note that the scoring request goes out."""
+        """Record that the scoring request is sent."""
         self.stage = Stage.SCORING
 
     def end_scoring(self) -> None:
-        """Note that the scoring request has ended, however."""
+        """Record that the scoring request has ended, with any outcome."""
         if self.stage is Stage.SCORING:
             self.stage = Stage.UNSCORED
 
     def finish(self) -> None:
-        """Note that there is a result."""
+        """Record that the item has a result."""
         self.stage = Stage.FINISHED
         self.text = texts.Text()
         self.unscored = None
 
     def exclude(self, engine_id: str, now: float) -> None:
-        """Pass over an engine for a while.
+        """Exclude an engine for `EXCLUDED_SECONDS`.
 
-        For a while only: it may be the one engine that serves the version asked for.
+        The exclusion expires because no other engine may serve the required version.
         """
         self.excluded_id = engine_id
         self.excluded_until = now + EXCLUDED_SECONDS
 
     def excluded_ids(self, now: float) -> frozenset[str]:
-        """Return the engines that are passed over now."""
+        """Return the engines that are excluded at `now`."""
         if self.excluded_id and now < self.excluded_until:
             return frozenset({self.excluded_id})
         return frozenset()
 
     def n_expected_tokens(self) -> int:
-        """Return the tokens that the item is likely to take."""
+        """Return the expected number of prompt and output tokens."""
         return self.item.n_expected_tokens or self.item.n_tokens
 
     def n_expected_output_tokens(self) -> int:
-        """Return the tokens that are likely to be generated."""
+        """Return the expected number of output tokens."""
         return self.item.n_expected_output_tokens or self.item.n_tokens
--- a/bilberrydrum/batches/messages.py
+++ b/bilberrydrum/batches/messages.py
@@ -1,6 +1,6 @@
 """Messages from gateways to the stores' leader, and its answers.
 
-All of them are safe to repeat, as `state.leader_calls` asks.
+All of them are idempotent, as `state.leader_calls` requires.
 """
 
 import attrs
@@ -12,7 +12,7 @@
 @codec.register("batches.submit")
 @attrs.frozen
 class Submit:
-    """Keep a batch and have it run."""
+    """Store a batch and run its items."""
 
     batch_id: str
     n_items: int
@@ -21,31 +21,31 @@
 
     @classmethod
     def of(cls, batch: model.Batch) -> "Submit":
-        """Return the message that hands in `batch`."""
+        """Return the message that submits `batch`."""
         return cls(batch.batch_id, len(batch.items), model.pack_batch(batch))
 
 
 @codec.register("batches.submitted")
 @attrs.frozen
 class Submitted:
-    """The batch is kept."""
+    """Answer to `Submit`: the batch is stored."""
 
 
 @codec.register("batches.read")
 @attrs.frozen
 class Read:
-    """Ask for results from a position on."""
+    """Request the results from a position on."""
 
     batch_id: str
     position: int
-    # Longest time to wait for a result, in seconds.
+    # Maximum time to wait for a result, in seconds.
     wait_seconds: float
 
 
 @codec.register("batches.page")
 @attrs.frozen
 class Page:
-    """Results from the asked position on."""
+    """Answer to `Read`: results from the requested position on."""
 
     is_known: bool
     n_items: int = 0
@@ -55,7 +55,7 @@
 @codec.register("batches.read-body")
 @attrs.frozen
 class ReadBody:
-    """Ask for the body of an item that has no result yet."""
+    """Request the body of an item that has no result yet."""
 
     batch_id: str
     item_id: str
@@ -64,7 +64,7 @@
 @codec.register("batches.body")
 @attrs.frozen
 class Body:
-    """An item's body."""
+    """Answer to `ReadBody`: the item's body."""
 
     is_known: bool
     body: bytes = b""
@@ -73,7 +73,7 @@
 @codec.register("batches.ask-end")
 @attrs.frozen
 class AskEnd:
-    """Have no more items of a batch run."""
+    """Request the end of a batch, so that no more of its items run."""
 
     batch_id: str
 
@@ -81,6 +81,6 @@
 @codec.register("batches.end-taken")
 @attrs.frozen
 class EndTaken:
-    """The batch has ended, or is not known."""
+    """Answer to `AskEnd`: the batch has ended, or is not known."""
 
     is_known: bool
--- a/bilberrydrum/batches/place_heap.py
+++ b/bilberrydrum/batches/place_heap.py
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        places: Sequence["scheduling.Place"],
+        places: Sequence["scheduling.EngineCapacity"],
         numbers: Iterable[int],
         item: "scheduling.WaitingItem",
         has_group: bool,
@@ -60,7 +60,7 @@
             entry = self._entries[0]
             place = self._places[entry[1]]
             corrected = self._entry(entry[1])
-            if place.is_closed_to(item):
+            if place.is_full_for(item):
                 heapq.heappop(self._entries)
             elif corrected != entry:
                 heapq.heapreplace(self._entries, corrected)
@@ -91,7 +91,7 @@
     def __init__(
         self,
         items: Iterable["scheduling.WaitingItem"],
-        places: Iterable["scheduling.Place"],
+        places: Iterable["scheduling.EngineCapacity"],
     ) -> None:
         """Prepare the choice.
 
@@ -99,7 +99,7 @@
         ----------
         items : iterable of scheduling.WaitingItem
             All that places will be asked for.
-        places : iterable of scheduling.Place
+        places : iterable of scheduling.EngineCapacity
             Meanwhile changed by this object only.
         """
         self._places = [each for each in places if each.n_running < each.n_slots]
@@ -114,7 +114,9 @@
             collections.defaultdict(dict)
         )
 
-    def take(self, item: "scheduling.WaitingItem") -> "scheduling.Place | None":
+    def take(
+        self, item: "scheduling.WaitingItem"
+    ) -> "scheduling.EngineCapacity | None":
         """Take the best place for `item`; None: no place can take it now."""
         best = self._heap(item).best(item)
         if best is None:
@@ -125,7 +127,7 @@
         number = best[1]
         place = self._places[number]
         is_new = item.group_key not in place.group_keys
-        place.take(item)
+        place.reserve(item)
         if is_new:
             self._join(number, item.group_key)
         return place
--- a/bilberrydrum/batches/runner.py
+++ b/bilberrydrum/batches/runner.py
@@ -1,9 +1,10 @@
 """Run the items of all open batches, at the leader of the stores' group.
 
-One process sends all items, so it knows what runs at each engine without asking, and a
-result is committed by the process that read it. Runs and texts that are not finished
-live in memory only: a new leader starts the unfinished items again. The decisions are
-in `scheduling` and `engine_shares`; `loader` has engines load new weights.
+A single process sends all items, so it knows what runs at each engine without a query,
+and commits each result that it reads. The state of running items exists in its memory
+only. Unfinished texts are saved to the replicated state now and then, and a new leader
+resumes the unfinished items from these saves. `scheduling` and `engine_shares` decide
+which engine runs what; `loader` orders engines to load new weights.
 """
 
 import functools
@@ -35,33 +36,36 @@
 from bilberrydrum.relay import crash_watch, relay
 from bilberrydrum.requests import attempts
 
-# Looks at the clock when nothing else happens: for items whose time is up and engines
-# whose backoff has ended.
+# Maximum time between two scheduling passes, in seconds. A pass without any other cause
+# finds items whose time is up and engines whose backoff has ended.
 _TICK_SECONDS: Final = 0.25
-# News that come together are looked at together.
-_GATHER_SECONDS: Final = 0.01
-# Time between two looks, as a multiple of what the last one took. Looks are due all the
-# time where items are many; one right after the other, they leave the process no time
-# to read the items' events, and what is sent is not served.
-_REST_FACTOR: Final = 2.0
-# Times that one item may be taken away from a slow engine.
+# Delay before a pass, in seconds, so that changes that arrive together share one pass.
+_COALESCE_SECONDS: Final = 0.01
+# Pause before a pass, as a multiple of the duration of the last one. With many items, a
+# pass is always due. Without a pause, consecutive passes would leave the process no
+# time to read the events of the items that it has sent.
+_PAUSE_FACTOR: Final = 2.0
+# Maximum number of times that one item is moved away from a slow engine.
 _MAX_MOVES: Final = 3
-# A new leader looks for groups that may come again in the batches of this many seconds:
-# a trainer hands them in with its next step. Each batch takes milliseconds to decode.
-_CARRY_SECONDS: Final = 20.0
-# How often unfinished texts are kept, and the fewest new events of one that are worth
-# it: an item of 140 events takes 5 s, and its group and trainer wait for it.
+# A new leader remembers the incomplete groups of batches that were submitted at most
+# this many seconds ago, because a trainer submits such groups again with its next step.
+# The time is limited because each batch takes milliseconds to decode.
+_REUSE_SECONDS: Final = 20.0
+# Interval at which unfinished texts are saved, in seconds, and the minimum number of
+# new events for a save. An item of 140 events takes 5 s, which its group and its
+# trainer would have to wait again if it were not saved.
 _PROGRESS_SECONDS: Final = 0.5
 _PROGRESS_EVENTS: Final = 8
-# Demand of a model counts the batches of this many seconds: several steps. A trainer
-# whose step is late hands in nothing meanwhile. Counted over 8 s, two steps, it lost
-# its engines to the others, and they had to be loaded again for its next step: of 17
-# engines that loaded one model's version, 9 had been another's a second before.
+# The demand for a model is the work submitted in this many seconds, which are several
+# steps. A trainer whose step is late submits nothing until that step ends. With a
+# window of 8 s (two steps), it lost its engines to other models, and engines had to
+# load its weights again for its next step: of 17 engines that loaded a version of one
+# model, 9 had belonged to another model a second before.
 _DEMAND_SECONDS: Final = 24.0
 
 
 class BatchRunner:
-    """The items that wait and run, while one process leads."""
+    """The waiting and running items, during the leadership of one process."""
 
     def __init__(
         self,
@@ -69,13 +73,13 @@
         view: subscriber.Subscriber,
         means: attempts.Means,
         given_hooks: hooks.Hooks,
-        passing_on: relay.Relay,
+        relay_: relay.Relay,
         crashes: crash_watch.CrashWatch,
     ) -> None:
         self._view = view
         self._hooks = given_hooks
         self._engines = engines.Engines()
-        self._work = work.Work()
+        self._work = work.OpenBatches()
         self._shares = engine_shares.Shares()
         self._demand = demand.Demand(_DEMAND_SECONDS)
         self._wake = eventlet.event.Event()
@@ -84,25 +88,25 @@
             means, protocol, view, given_hooks, self._pace, crashes, self.wake
         )
         self._scores = score_sender.ScoreSender(
-            passing_on, view, given_hooks, self._pace, self.wake
+            relay_, view, given_hooks, self._pace, self.wake
         )
-        duties = loader.Duties(
+        duties = loader.LoaderHooks(
             given_hooks.holder,
             given_hooks.fencing_number,
-            self._needs_single,
+            self._needs_single_version,
             self.wake,
         )
         self._loader = loader.Loader(means, protocol, self._engines, duties)
         self._task: Any = None
         self._is_watching = False
         self._progress_at = float("-inf")
-        # Time that the last look took.
-        self._look_seconds = 0.0
+        # Duration of the last scheduling pass, in seconds.
+        self._pass_seconds = 0.0
 
-    # Life
+    # Start and stop
 
     def start(self, kept: Iterable[model.KeptBatch]) -> None:
-        """Take over the open batches among `kept` and start to run them."""
+        """Start to run the open batches among `kept`."""
         self._view.watch(self.wake)
         self._is_watching = True
         for each in kept:
@@ -110,10 +114,11 @@
         self._task = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """Break off all runs; may be asked for once more, as it may be broken off."""
+        """Cancel all runs; may be called again, since a call may be cancelled."""
         if self._is_watching:
-            # Before anything lets other tasks run, among them one that breaks off this
-            # stop and begins another: that would fail, and leave the runs going on.
+            # Cleared before any call that yields to other tasks. One of them may cancel
+            # this stop and call `stop` again. The second call would fail on removing
+            # the watcher twice and leave the runs active.
             self._is_watching = False
             self._view.unwatch(self.wake)
         if self._task is not None:
@@ -124,17 +129,17 @@
         self._scores.stop()
 
     def wake(self) -> None:
-        """Look at once what can be sent."""
+        """Make a scheduling pass due without waiting for the next tick."""
         if not self._wake.ready():
             self._wake.send(None)
 
     # Batches
 
     def accept(self, kept: model.KeptBatch) -> None:
-        """Run a batch that is kept from now on."""
+        """Run a batch that is stored, or remember it if it has ended."""
         age = max(time.time() - kept.submitted_at, 0.0)
         if kept.is_ended:
-            if age <= _CARRY_SECONDS:
+            if age <= _REUSE_SECONDS:
                 self._work.remember(kept.decode(), kept)
             return
         opened = self._work.open(kept, clock.now() - age)
@@ -149,28 +154,28 @@
             n_finished=len(kept.results),
             age_seconds=round(age, 3),
         )
-        self._loader.note_step(batch.model, batch.min_version)
+        self._loader.record_step(batch.model, batch.min_version)
         self._demand.note(batch.model, opened.n_expected_output_tokens(), clock.now())
-        for result in self._work.carried_results(opened, self._route_of(opened)):
-            self._take_carried(opened, result)
+        for result in self._work.reusable_results(opened, self._route_of(opened)):
+            self._submit_reusable(opened, result)
         self.wake()
 
-    def _take_carried(self, opened: work.OpenBatch, result: model.Result) -> None:
+    def _submit_reusable(self, opened: work.OpenBatch, result: model.Result) -> None:
         run = opened.runs_by_item_id[result.item_id]
-        if run.item.is_settled_by(result):
+        if run.item.is_finished_by(result):
             self._hooks.finish(opened.batch.batch_id, result)
         else:
             self._hooks.keep_text(opened.batch.batch_id, result)
 
-    def finished(self, batch_id: str, item_ids: Iterable[str]) -> None:
-        """Note items whose results are committed."""
-        self._work.finished(batch_id, item_ids)
+    def mark_finished(self, batch_id: str, item_ids: Iterable[str]) -> None:
+        """Mark items whose results are committed as finished."""
+        self._work.mark_finished(batch_id, item_ids)
 
     def end(self, batch_id: str) -> None:
-        """Break off the runs of a batch that has ended."""
-        # Closed first: breaking off a run lets other tasks run. In a batch that was
-        # still open, the loop would send again what was just broken off, and nobody
-        # would break that off.
+        """Cancel the runs of a batch that has ended."""
+        # The batch is closed first, because cancelling a run yields to other tasks. In
+        # a batch that is still open, the scheduling loop would send the cancelled items
+        # again, and nothing would cancel those runs.
         closed = self._work.close(batch_id)
         self._items.cancel_batch(batch_id)
         self._scores.cancel_batch(batch_id)
@@ -184,27 +189,27 @@
         while True:
             with eventlet.Timeout(_TICK_SECONDS, False):
                 self._wake.wait()
-            clock.sleep(_pause_seconds(self._look_seconds))
+            clock.sleep(_pause_seconds(self._pass_seconds))
             self._wake = eventlet.event.Event()
-            self._look_seconds = 0.0
+            self._pass_seconds = 0.0
             if not self._hooks.may_send():
                 continue
             began = clock.now()
             try:
-                self._look()
+                self._run_pass()
             except Exception:
-                # Were this task to end, no item would run until another leader.
+                # If this task ended, no item would run until the leader changes.
                 eliot.write_traceback()
-            self._look_seconds = clock.now() - began
+            self._pass_seconds = clock.now() - began
 
-    def _look(self) -> None:
+    def _run_pass(self) -> None:
         now = clock.now()
         self._engines.refresh(
             self._view.registry.upstreams, self._view.routes.services_by_name
         )
         self._give_up_late(now)
         usable = self._engines.usable(now)
-        self._divide(now)
+        self._divide_engines(now)
         self._load_weights(usable, now)
         self._send_items(usable, now)
         self._scores.step(self._work.open_batches(), now)
@@ -215,7 +220,7 @@
             return
         self._progress_at = now
         for opened in self._work.open_batches():
-            progress = opened.take_progress(_PROGRESS_EVENTS)
+            progress = opened.begin_saves(_PROGRESS_EVENTS)
             if progress:
                 self._hooks.save(opened.batch.batch_id, tuple(progress))
 
@@ -227,7 +232,7 @@
             for run in [*opened.waiting_runs(), *opened.unscored_runs()]:
                 self._items.give_up(opened, run, "out of time")
 
-    def _divide(self, now: float) -> None:
+    def _divide_engines(self, now: float) -> None:
         models = self._engines.models()
         demand = self._demand.by_model(models, now)
         lasting = [each.upstream_id for each in self._engines.lasting(now)]
@@ -247,14 +252,14 @@
         items = self._sendable(now) + self._movable(slow_ids)
         if not items:
             return
-        places = [each.place(self._shares, slow_ids) for each in usable]
+        capacities = [each.place(self._shares, slow_ids) for each in usable]
         for assignment in scheduling.assign(
-            items, places, now, self._work.count_running
+            items, capacities, now, self._work.count_running
         ):
             self._send(assignment)
 
     def _sendable(self, now: float) -> list[scheduling.WaitingItem]:
-        """Return the items that wait for a place."""
+        """Return the items that wait for engine capacity."""
         return self._waiting_items(
             (opened, run)
             for opened in self._work.open_batches()
@@ -263,7 +268,7 @@
         )
 
     def _movable(self, slow_ids: frozenset[str]) -> list[scheduling.WaitingItem]:
-        """Return the items that run at slow engines and may go on elsewhere."""
+        """Return the items that run at slow engines and may move to other engines."""
         if not slow_ids:
             return []
         movable = self._waiting_items(
@@ -272,12 +277,13 @@
             for run in opened.runs_by_item_id.values()
             if run.engine_id in slow_ids and run.n_moves < _MAX_MOVES
         )
-        return [attrs.evolve(each, is_at_slow=True) for each in movable]
+        return [attrs.evolve(each, is_on_slow_engine=True) for each in movable]
 
     def _waiting_items(
         self, pairs: Iterable[tuple[work.OpenBatch, lifecycle.ItemRun]]
     ) -> list[scheduling.WaitingItem]:
-        # Asked for each item, before thousands of engines.
+        # Cached, since each call visits all engines, of which there may be thousands,
+        # and is made for each item.
         served_by = functools.cache(self._engines.versions_of)
         found = [self._waiting_item(*each, served_by) for each in pairs]
         return [each for each in found if each is not None]
@@ -291,12 +297,13 @@
         route = self._route_of(opened)
         standing = self._items.standing(opened, run)
         if route is None or standing is quarantine.Standing.QUARANTINED:
-            # It waits until it is given up: its caller is told nothing that is not so.
+            # The item waits until it is given up, so that its caller gets no wrong
+            # result meanwhile.
             return None
         served: set[int] = set()
         if route.is_single_version:
             served = served_by(opened.batch.model)
-        is_doubtful = standing is quarantine.Standing.DOUBTFUL
+        is_suspected = standing is quarantine.Standing.DOUBTFUL
         account = opened.batch.account
         return work.waiting_item(
             opened,
@@ -304,15 +311,15 @@
             route,
             self._pace,
             served,
-            is_doubtful,
+            is_suspected,
             clock.now(),
             self._view.routes.precedence_of(route, account),
         )
 
-    def _take_away(
+    def _cancel_slow_run(
         self, assignment: scheduling.Assignment, run: lifecycle.ItemRun
     ) -> None:
-        """Break off an item's run at a slow engine."""
+        """Cancel an item's run at a slow engine, from which it is moved away."""
         eliot.log_message(
             message_type="batches:moved",
             batch_id=assignment.key[0],
@@ -325,7 +332,7 @@
         run.exclude(run.engine_id, clock.now())
         self._items.take_away(assignment.key)
 
-    def _needs_single(self, model_name: str) -> bool:
+    def _needs_single_version(self, model_name: str) -> bool:
         routes = [self._route_of(each) for each in self._work.of_model(model_name)]
         return any(route is not None and route.is_single_version for route in routes)
 
@@ -338,14 +345,18 @@
             return
         opened, run = found
         if run.engine_id:
-            self._take_away(assignment, run)
-        # Taking away, of this item or of one before it, lets other tasks run: the item
-        # or its batch may have ended since it was assigned, and would run once more.
+            self._cancel_slow_run(assignment, run)
+        # Cancelling a run, of this item or of one before it, yields to other tasks. The
+        # item or its batch may have ended since the assignment, and sending the item
+        # would run it once more.
         if opened.is_ended or run.stage is not lifecycle.Stage.WAITING:
             return
         self._items.send(opened, run, self._engines.by_id[assignment.engine_id])
 
 
-def _pause_seconds(look_seconds: float) -> float:
-    """Return the pause before the look after one that took `look_seconds`."""
-    return min(max(_GATHER_SECONDS, _REST_FACTOR * look_seconds), _TICK_SECONDS)
+def _pause_seconds(pass_seconds: float) -> float:
+    """Return the pause before the next scheduling pass, in seconds.
+
+    `pass_seconds` is the duration of the last pass.
+    """
+    return min(max(_COALESCE_SECONDS, _PAUSE_FACTOR * pass_seconds), _TICK_SECONDS)
--- a/bilberrydrum/batches/scheduling.py
+++ b/bilberrydrum/batches/scheduling.py
@@ -1,18 +1,20 @@
-"""Which waiting items go to which engines now.
-
-Pure: items and engines in, assignments out. Answers the load in which several trainers'
-batches are open and places at engines are scarce. `urgency` says who goes first; within
-a tier the more urgent account does, whose batches would else wait for others'. Among
-the engines that can take an item, the one with the smallest share of its places in use
-is chosen: engines generate more slowly the more they run, by half when they are full.
-One that runs items of the same group has their prompt in memory and may be a little
-busier.
-
-Items that run at slow engines are among those that wait: a text goes on where it
-stopped, so a move costs one reading of the prompt, and left there, one slow engine
-holds up every group that has an item on it. They go by the time that is left like all
-others. Moved only to places that nobody waits for, they stayed while two fifths of the
-engines were slow: an item of 89 events took 9.8 s, and its trainer lost two steps.
+"""The assignment of waiting items to engines.
+
+A pure function of items and engines, designed for a load in which several trainers'
+batches are open and engine capacity is scarce. `urgency` determines the tier of each
+item. Within a tier, the account with the higher precedence goes first, since its
+batches would otherwise wait for those of others. Among the engines that can run an
+item, the one with the smallest share of its run slots in use is chosen: engines get
+slower the more they run, and a full engine takes 1.5 times as long per token as an
+empty one. An engine that runs items of the same group has their prompt in memory and
+may be a little busier than the others.
+
+Items that run at slow engines are scheduled together with the waiting ones. A text is
+resumed where it stopped, so a move costs one reading of the prompt, while one slow
+engine delays every group that has an item on it. These items are ordered by their
+remaining time like all others. When they were moved only to capacity for which no item
+waited, they stayed where they were while two fifths of the engines were slow: an item
+of 89 events took 9.8 s, and its trainer lost two steps.
 """
 
 from collections.abc import Callable, Hashable, Mapping, Sequence
@@ -23,10 +25,10 @@
 from bilberrydrum.batches import place_heap, urgency
 from bilberrydrum.fleet import policy
 
-# Share of an engine's places by which one that has the group's prompt may be busier
-# than another. A full engine generates 1.5 times as slowly as an empty one, so a
-# quarter costs an eighth of the pace; the prompt costs its reading, some milliseconds,
-# and its room in the memory of each engine.
+# An engine that has the group's prompt in memory is preferred as if it had this share
+# of its run slots fewer in use. A full engine takes 1.5 times as long per token as an
+# empty one, so a quarter costs an eighth in speed. Another engine has to read the
+# prompt, which takes some milliseconds, and to hold it in its memory as well.
 AFFINITY_SHARE = 0.25
 
 
@@ -34,95 +36,103 @@
 class WaitingItem:
     """An item that could be sent now."""
 
+    # Batch id and item id.
     key: tuple[str, str]
-    # Groups of different batches differ.
+    # Contains the batch id, so that groups of different batches differ.
     group_key: tuple[str, str]
-    # Latest start, in seconds of the clock, to be done in time.
+    # Latest time to start in order to be on time, in seconds of the clock.
     start_by: float
-    # When it cannot be done in time any more.
+    # Time after which the item can no longer be on time, in seconds of the clock.
     late_at: float
-    # Its group is not waited for.
+    # Whether the item's group is a surplus group, which the trainer does not wait for.
     is_spare: bool
     model: str
     min_version: int
     services: frozenset[str]
-    # Tokens it needs in an engine's memory.
+    # Tokens that the item needs in an engine's memory.
     n_tokens: int = 0
-    # Engines that it should not go to again soon.
+    # Engines that must not run the item now, because it has just failed there.
     excluded_ids: frozenset[str] = frozenset()
-    # Text of a broken run can go on only under this version; None: any.
+    # The only version under which the item's text can be resumed; None: any.
     only_version: int | None = None
-    # When its batch is due; the same for all items of a batch.
+    # Time at which its batch is due, the same for all items of a batch.
     done_by: float = 0.0
-    # It may have ended the engines that ran it (see `quarantine`).
-    is_doubtful: bool = False
+    # Whether the item is suspected of crashing engines (see `quarantine`).
+    is_suspected: bool = False
     precedence: policy.Precedence = attrs.field(factory=policy.Precedence)
-    # Whose batch it is of; empty: nobody's, all such items are one account's.
+    # Account of the batch. Items without one (empty) are treated as one account's.
     account: str = ""
-    # It runs at a slow engine, and would go on where it stopped at another one.
-    is_at_slow: bool = False
+    # Whether the item runs at a slow engine now and could be resumed at another one.
+    is_on_slow_engine: bool = False
 
     def kind(self) -> Hashable:
-        """Return what `Place.suits`, `is_closed_to` and `rank` know it by."""
+        """Return the properties that determine which engines suit the item.
+
+        These are all that `EngineCapacity.suits`, `is_full_for` and `rank` use.
+        """
         return (
             self.services,
             self.model,
             self.min_version,
             self.only_version,
-            self.is_doubtful,
-            self.is_at_slow,
+            self.is_suspected,
+            self.is_on_slow_engine,
         )
 
 
 @attrs.define
-class Place:
-    """One engine, as far as sending items matters; changed as places are taken."""
+class EngineCapacity:
+    """The capacity of one engine, updated as items are assigned to it."""
 
     engine_id: str
     service: str
     n_slots: int
     n_running: int
     versions_by_model: Mapping[str, int]
-    # Models that it is meant to serve; others only if nobody else can.
+    # Models assigned to the engine. It serves others only if no other engine can.
     models: frozenset[str] = frozenset()
-    # Loading weights of these models: items of theirs would be turned away.
+    # Models whose weights the engine is loading. It would reject their items.
     loading_models: frozenset[str] = frozenset()
     is_silent: bool = False
-    # Much slower than the others lately.
+    # Whether the engine has recently been much slower than the others.
     is_slow: bool = False
-    # Tokens that its memory holds, and those of what runs; 0 slots known: no bound.
+    # Number of tokens that the engine's memory holds; 0: not known, and no bound.
     n_cache_tokens: int = 0
+    # Number of tokens of the running items.
     n_tokens: int = 0
-    # Group keys of what runs there.
+    # Group keys of the running items.
     group_keys: set[tuple[str, str]] = attrs.field(factory=set)
-    # A doubtful item runs there.
-    has_doubtful: bool = False
+    # Whether an item that is suspected of crashing engines runs here.
+    has_suspected: bool = False
 
     def suits(self, item: WaitingItem) -> bool:
-        """Tell whether items of this kind may be sent here while there is room."""
+        """Return whether items of this kind can run here if there is room."""
         if self.service not in item.services or item.model in self.loading_models:
             return False
-        if item.is_at_slow and self.is_slow:
+        if item.is_on_slow_engine and self.is_slow:
             return False
         return self._has_version(item)
 
-    def is_closed_to(self, item: WaitingItem) -> bool:
-        """Tell whether items of this kind have to wait until one here has ended."""
-        # Doubtful ones together would look alike: the guilty one takes the others
-        # along.
+    def is_full_for(self, item: WaitingItem) -> bool:
+        """Return whether items of this kind must wait until an item here has ended."""
+        # Only one suspected item runs at an engine at a time. If several ran together,
+        # a crash could not be attributed to one of them.
         return self.n_running >= self.n_slots or (
-            item.is_doubtful and self.has_doubtful
+            item.is_suspected and self.has_suspected
         )
 
     def has_memory(self, item: WaitingItem) -> bool:
-        """Tell whether its memory holds `item` besides what runs."""
+        """Return whether the memory holds `item` in addition to the running items.
+
+        An engine that runs nothing takes an item of any size.
+        """
         fits = self.n_tokens + item.n_tokens <= self.n_cache_tokens
         return not self.n_cache_tokens or not self.n_running or fits
 
     def rank(self, item: WaitingItem, has_group: bool) -> place_heap.Rank:
-        """Return its rank among the places that can take `item`; the least is best.
+        """Return the engine's rank for `item`; the lowest rank is the best.
 
-        `has_group` tells whether items of its group run here.
+        `has_group` says whether items of the same group run here.
         """
         load = self.n_running / max(self.n_slots, 1)
         if has_group:
@@ -143,17 +153,17 @@
             return False
         return item.only_version is None or version == item.only_version
 
-    def take(self, item: WaitingItem) -> None:
-        """Note that `item` goes here."""
+    def reserve(self, item: WaitingItem) -> None:
+        """Reserve capacity for `item`."""
         self.n_running += 1
         self.n_tokens += item.n_tokens
         self.group_keys.add(item.group_key)
-        self.has_doubtful |= item.is_doubtful
+        self.has_suspected |= item.is_suspected
 
 
 @attrs.frozen
 class Assignment:
-    """An item goes to an engine."""
+    """The decision to send an item to an engine."""
 
     key: tuple[str, str]
     engine_id: str
@@ -161,14 +171,14 @@
 
 def assign(
     items: Sequence[WaitingItem],
-    places: Sequence[Place],
+    capacities: Sequence[EngineCapacity],
     now: float,
     count_running: Callable[[], Mapping[str, int]] = dict,
 ) -> list[Assignment]:
-    """Return what is to be sent now; `places` are changed accordingly.
+    """Return the items to send now, reserving capacity for them.
 
-    `count_running` returns how many items of each account run; asked only if an account
-    asks for more than can be done in time.
+    `count_running` returns the number of running items of each account. It is called
+    only if an account has items that can no longer be on time.
     """
     assignments = []
     tiers = urgency.tiers_by_group(
@@ -178,47 +188,50 @@
         ),
         now,
     )
-    behind = _behind(items, places, now, count_running)
+    deprioritized = _deprioritized(items, capacities, now, count_running)
 
     def order(item: WaitingItem) -> tuple[Any, ...]:
         tier = tiers[item.group_key]
-        return tier, item.precedence, item.key in behind, item.start_by, item.key
+        return tier, item.precedence, item.key in deprioritized, item.start_by, item.key
 
-    choice = place_heap.Choice(items, places)
+    choice = place_heap.Choice(items, capacities)
     for item in sorted(items, key=order):
-        place = choice.take(item)
-        if place is not None:
-            assignments.append(Assignment(item.key, place.engine_id))
+        capacity = choice.take(item)
+        if capacity is not None:
+            assignments.append(Assignment(item.key, capacity.engine_id))
     return assignments
 
 
-def _behind(
+def _deprioritized(
     items: Sequence[WaitingItem],
-    places: Sequence[Place],
+    capacities: Sequence[EngineCapacity],
     now: float,
     count_running: Callable[[], Mapping[str, int]],
 ) -> set[tuple[str, str]]:
-    """Return the items that go behind other accounts', as theirs has its share.
+    """Return the items that go after those of other accounts.
 
-    Answers the load in which one account asks for many times what can be done: its
-    oldest items are always the most urgent, and those of all others would wait behind
-    them until they are late as well. An account that has items which cannot be in time
-    keeps its turn for an equal share of the places, and yields what is beyond it.
+    Answers the load in which one account submits many times what can be served. Its
+    oldest items are always the most urgent, and the items of all other accounts would
+    wait for them until they are late as well. So an account that has items which can no
+    longer be on time keeps its normal order for an equal share of the run slots only,
+    and its items beyond that share go after those of other accounts.
     """
     accounts = {each.account for each in items}
-    crowding = {each.account for each in items if each.late_at < now}
-    if len(accounts) < 2 or not crowding:
+    overloading = {each.account for each in items if each.late_at < now}
+    if len(accounts) < 2 or not overloading:
         return set()
     running = count_running()
-    share = sum(each.n_slots for each in places) // len(accounts | running.keys())
-    left_by_account = {each: max(share - running.get(each, 0), 0) for each in crowding}
-    behind = set()
+    share = sum(each.n_slots for each in capacities) // len(accounts | running.keys())
+    remaining_by_account = {
+        each: max(share - running.get(each, 0), 0) for each in overloading
+    }
+    deprioritized = set()
     for item in sorted(items, key=lambda e: (e.start_by, e.key)):
-        left = left_by_account.get(item.account)
-        if left is None:
+        remaining = remaining_by_account.get(item.account)
+        if remaining is None:
             continue
-        if left == 0:
-            behind.add(item.key)
+        if remaining == 0:
+            deprioritized.add(item.key)
         else:
-            left_by_account[item.account] = left - 1
-    return behind
+            remaining_by_account[item.account] = remaining - 1
+    return deprioritized
--- a/bilberrydrum/batches/score_sender.py
+++ b/bilberrydrum/batches/score_sender.py
@@ -207,7 +207,7 @@
         now = clock.now()
         batch_id = opened.batch.batch_id
         if verdict is scoring.Verdict.SCORED:
-            self._pace.note_scoring(seconds)
+            self._pace.record_scoring(seconds)
             unscored = run.unscored
             run.finish()
             if unscored is not None:
--- a/bilberrydrum/batches/service.py
+++ b/bilberrydrum/batches/service.py
@@ -1,4 +1,8 @@
-"""The stores' leader: keeps batches, answers gateways, and has the items run."""
+"""The batch service of a store: stores batches, serves gateways and runs items.
+
+Every replica of the stores' group has the service. Only the leader accepts batches,
+answers gateways and runs items.
+"""
 
 from collections.abc import Mapping
 from typing import Any, Final
@@ -17,38 +21,39 @@
 from bilberrydrum.requests import attempts
 from bilberrydrum.state import leader_service, replica, tenure
 
-# Time for a change to be committed before the caller is sent on to ask again.
+# Timeout in seconds for the commit of a change, after which the caller has to retry.
 COMMIT_SECONDS: Final = 2.0
-# Result bytes in one page, so that its JSON stays below a megabyte even if some bytes
-# are escaped.
+# Maximum size of the results in one page, in bytes. It keeps the page's JSON below a
+# megabyte even if some bytes are escaped.
 MAX_PAGE_BYTES: Final = 600_000
-# How often the leadership is looked at; its lease is checked before each sending.
-_LOOK_SECONDS: Final = 0.1
-# The same by a replica that was elected and waits for its lease: one round trip and one
-# sync, in which no item runs.
-_ELECTED_LOOK_SECONDS: Final = 0.01
-# Pause after an unexpected error. The next runner breaks off what runs, and may hand
-# over at once what fails once more.
-_FAULT_PAUSE_SECONDS: Final = 1.0
-# Pause before results that were refused are committed again. A full group refuses at
-# once: without a pause no other task of this process would run any more, not even the
-# one that learns that it leads no longer.
-_COMMIT_AGAIN_SECONDS: Final = 0.05
-# Results committed in one entry.
+# Interval at which this replica's leadership is checked, in seconds. Its lease is also
+# checked before each request to an engine.
+_ROLE_CHECK_SECONDS: Final = 0.1
+# The same at a replica that was elected and waits for its lease. That takes one round
+# trip and one sync, during which no item runs.
+_ELECTED_CHECK_SECONDS: Final = 0.01
+# Pause after an unexpected error, in seconds. The error leads to a new runner, which
+# cancels all runs and may at once queue an update that fails in the same way.
+_ERROR_PAUSE_SECONDS: Final = 1.0
+# Pause before a refused commit of results is retried, in seconds. A group with a full
+# queue refuses immediately. Without a pause, the retries would keep all other tasks of
+# this process from running, also the one that detects the loss of leadership.
+_COMMIT_RETRY_SECONDS: Final = 0.05
+# Maximum number of updates that are committed together.
 _MAX_RESULTS: Final = 64
 
 
 @attrs.frozen
-class _Advance:
-    """How far an item is, to be committed while one runner runs only."""
+class _ItemUpdate:
+    """An update of an item, valid only while the runner that queued it is active."""
 
-    # Number of the runner that handed it over, in this process.
+    # Number of the runner that queued it, counted in this process.
     runner_number: int
     command: commands.FinishItems
 
 
 class BatchService:
-    """The tasks beside one replica of the stores' group."""
+    """Stores batches and, while its replica leads, runs their items."""
 
     def __init__(
         self,
@@ -57,47 +62,48 @@
         view: subscriber.Subscriber,
         protocol: upstream_protocol.UpstreamProtocol,
         means: attempts.Means,
-        passing_on: relay.Relay,
+        relay_: relay.Relay,
         crashes: crash_watch.CrashWatch,
         retention_seconds: float,
         orders_tenure: tenure.Tenure,
     ) -> None:
-        """Make the service; nothing runs before `start`.
+        """Create the service; no task runs before `start`.
 
         Parameters
         ----------
-        passing_on : relay.Relay
+        relay_ : relay.Relay
             Sends scoring requests.
         crashes : crash_watch.CrashWatch
-            Told of the items' runs that break off.
+            Records runs that were cut off, and classifies items by their crashes.
         retention_seconds : float
-            How long an ended batch can be read, from its submission on.
+            Time in seconds for which a batch that has ended can be read, counted from
+            its submission.
         orders_tenure : tenure.Tenure
-            The right to give orders to engines.
+            The right to send orders to engines.
         """
         self._replica = replica_
         self._carrier = carrier
         self._view = view
         self._protocol = protocol
         self._means = means
-        self._relay = passing_on
+        self._relay = relay_
         self._crashes = crashes
         self._retention_seconds = retention_seconds
         self._orders_tenure = orders_tenure
         self._service = leader_service.LeaderService(replica_, carrier)
         self._runner: runner.BatchRunner | None = None
-        # How many runners there have been.
+        # Number of runners started so far.
         self._n_runners = 0
-        # The runner counts on results that were dropped.
-        self._lacks_results = False
+        # Whether updates were dropped that the active runner treats as committed.
+        self._has_dropped_results = False
         self._term = 0
-        self._news = eventlet.event.Event()
+        self._results_changed = eventlet.event.Event()
         self._role_changed = eventlet.event.Event()
-        self._advanced: Any = eventlet.queue.Queue()
+        self._updates: Any = eventlet.queue.Queue()
         self._tasks: list[Any] = []
 
     def start(self) -> None:
-        """Start to answer, and to run items whenever this replica leads."""
+        """Start to serve gateways, and to run items whenever this replica leads."""
         handlers: Mapping[type[Any], leader_service.Handler] = {
             messages.Submit: self._on_submit,
             messages.Read: self._on_read,
@@ -107,14 +113,14 @@
         for message_class, handler in handlers.items():
             self._service.serve(message_class, handler)
         self._replica.watch(self._on_applied)
-        self._replica.watch_role(self._on_role)
+        self._replica.watch_role(self._on_role_change)
         self._tasks = [
             eventlet.spawn(self._lead),
-            eventlet.spawn(self._commit_advances),
+            eventlet.spawn(self._commit_updates),
         ]
 
     def stop(self) -> None:
-        """Break off all runs."""
+        """Stop all tasks and cancel all runs."""
         for task in self._tasks:
             task.kill()
         self._tasks.clear()
@@ -127,17 +133,17 @@
             try:
                 self._follow_leadership()
             except Exception:
-                # Were this task to end, this replica could lead without running items.
+                # If this task ended, this replica could lead without running items.
                 eliot.write_traceback()
             self._wait_for_role()
 
-    def _on_role(self) -> None:
+    def _on_role_change(self) -> None:
         if not self._role_changed.ready():
             self._role_changed.send(None)
 
     def _wait_for_role(self) -> None:
         is_waiting = self._runner is None and self._replica.is_elected()
-        seconds = _ELECTED_LOOK_SECONDS if is_waiting else _LOOK_SECONDS
+        seconds = _ELECTED_CHECK_SECONDS if is_waiting else _ROLE_CHECK_SECONDS
         with eventlet.Timeout(seconds, False):
             self._role_changed.wait()
             self._role_changed = eventlet.event.Event()
@@ -146,29 +152,31 @@
         held = self._replica.leadership()
         if held is None:
             self._stop_runner()
-        elif self._runner is None or held.term != self._term or self._lacks_results:
+        elif (
+            self._runner is None or held.term != self._term or self._has_dropped_results
+        ):
             self._stop_runner()
             self._start_runner(held.term)
 
     def _start_runner(self, term: int) -> None:
         self._term = term
-        self._lacks_results = False
+        self._has_dropped_results = False
         self._n_runners += 1
         number = self._n_runners
 
-        def hand_over(batch_id: str, **fields: Any) -> None:
+        def enqueue(batch_id: str, **fields: Any) -> None:
             command = commands.FinishItems(batch_id, **fields)
-            self._advanced.put(_Advance(number, command))
+            self._updates.put(_ItemUpdate(number, command))
 
         given = hooks.Hooks(
-            finish=lambda batch_id, each: hand_over(batch_id, results=(each,)),
-            keep_text=lambda batch_id, each: hand_over(batch_id, unscored=(each,)),
-            score=lambda batch_id, item_id, score: hand_over(
+            finish=lambda batch_id, each: enqueue(batch_id, results=(each,)),
+            keep_text=lambda batch_id, each: enqueue(batch_id, unscored=(each,)),
+            score=lambda batch_id, item_id, score: enqueue(
                 batch_id, scores=(commands.Score(item_id, score),)
             ),
             save=self._save,
             fencing_number=self._orders_tenure.take_number,
-            may_send=lambda: self._leads(term),
+            may_send=lambda: self._is_leading(term),
             holder=self._carrier.process_id,
         )
         started = runner.BatchRunner(
@@ -190,13 +198,14 @@
             try:
                 self._runner.stop()
             except Exception:
-                # Kept, it would fail at each look, and no runner would take its place.
-                # One whose stop was only broken off stays, to be stopped once more.
+                # If the runner were kept, its stop would fail at each check, and no new
+                # runner would start. A runner whose stop was merely cancelled is kept,
+                # so that it is stopped again.
                 self._runner = None
                 raise
             self._runner = None
 
-    def _leads(self, term: int) -> bool:
+    def _is_leading(self, term: int) -> bool:
         held = self._replica.leadership()
         return held is not None and held.term == term
 
@@ -205,44 +214,46 @@
 
     # Results
 
-    def _commit_advances(self) -> None:
+    def _commit_updates(self) -> None:
         while True:
             try:
                 self._commit_next()
             except Exception:
-                # Were this task to end, no result would be listed until another process
-                # leads. The runner holds what is dropped here for finished; a new one
-                # takes up what is kept.
+                # If this task ended, no result would be listed until another process
+                # leads. The runner treats the updates dropped here as committed, so it
+                # is replaced by one that starts from the stored state.
                 eliot.write_traceback()
-                self._lacks_results = True
-                self._on_role()
-                clock.sleep(_FAULT_PAUSE_SECONDS)
+                self._has_dropped_results = True
+                self._on_role_change()
+                clock.sleep(_ERROR_PAUSE_SECONDS)
 
     def _commit_next(self) -> None:
-        """Wait for results, and commit those that are there by then."""
-        advanced = [self._advanced.get()]
-        while not self._advanced.empty() and len(advanced) < _MAX_RESULTS:
-            advanced.append(self._advanced.get())
-        # The term may change while one of them is proposed. A text of the earlier
-        # one could replace a text that another leader has kept, and get its score.
-        # The runner may change in one term, too, and makes again what waits here:
-        # committed as one command, its text would get the earlier text's score.
+        """Wait for an update, and commit all that are queued, up to the maximum."""
+        advanced = [self._updates.get()]
+        while not self._updates.empty() and len(advanced) < _MAX_RESULTS:
+            advanced.append(self._updates.get())
+        # The term may change during a proposal. An update of the earlier term could
+        # then replace a text that another leader has stored, and get that text's score.
+        # The runner may also change within a term, and then generates the queued texts
+        # again. If both runners' updates were committed as one command, the new
+        # runner's text would get the score of the earlier text.
         term, number = self._term, self._n_runners
         given = [each.command for each in advanced if each.runner_number == number]
-        for command in commands.joined(given):
+        for command in commands.merge_by_batch(given):
             self._commit(command, term)
 
     def _commit(self, command: commands.FinishItems, term: int) -> None:
-        while self._leads(term):
+        while self._is_leading(term):
             if self._replica.propose(command, COMMIT_SECONDS).is_ok():
                 return
-            clock.sleep(_COMMIT_AGAIN_SECONDS)
-        # Who leads next runs or scores these items again. If the lease comes back
-        # before anyone looks, this runner would go on, hold them for finished, and they
-        # would never be listed; a new one takes up what is kept.
+            clock.sleep(_COMMIT_RETRY_SECONDS)
+        # The next leader runs or scores these items again. If this process regains the
+        # lease before the loss is noticed, the same runner would continue and treat the
+        # items as finished, and they would never be listed. So a new runner is started,
+        # which starts from the stored state.
         if term == self._term:
-            self._lacks_results = True
-            self._on_role()
+            self._has_dropped_results = True
+            self._on_role_change()
         eliot.log_message(
             message_type="batches:results-dropped",
             batch_id=command.batch_id,
@@ -252,7 +263,8 @@
         )
 
     def _save(self, batch_id: str, saves: tuple[texts.Save, ...]) -> None:
-        # Lost, it is run again; nobody waits for it.
+        # Nothing waits for the commit: the events of a lost save are saved again, or
+        # generated again under another leader.
         eventlet.spawn_n(self._commit_saves, batch_id, saves)
 
     def _commit_saves(self, batch_id: str, saves: tuple[texts.Save, ...]) -> None:
@@ -263,9 +275,9 @@
             if proposed.is_ok():
                 saved = proposed.unwrap()
         finally:
-            # Not told its end, a text would be kept no further.
+            # A text begins no further save before its last one has ended.
             for each in saves:
-                each.end(saved.kept_by(each.progress.item_id))
+                each.end(saved.saved_index(each.progress.item_id))
 
     def _on_applied(self, command: object, answer: Any) -> None:
         active = self._runner
@@ -276,20 +288,20 @@
         elif isinstance(command, commands.FinishItems):
             kept = self._section().batches_by_id.get(command.batch_id)
             if active is not None and kept is not None:
-                # A score whose text is not kept lists nothing; held for finished, the
-                # item would never be.
+                # A score whose text is not stored lists no result. If its item were
+                # marked as finished, the item would never be listed.
                 listed = kept.finished_ids() & set(command.finished_ids())
-                active.finished(command.batch_id, sorted(listed))
-            self._tell_news()
+                active.mark_finished(command.batch_id, sorted(listed))
+            self._notify_readers()
         elif isinstance(command, commands.EndBatch):
             if active is not None:
                 active.end(command.batch_id)
-            self._tell_news()
+            self._notify_readers()
 
-    def _tell_news(self) -> None:
-        if not self._news.ready():
-            self._news.send(None)
-            self._news = eventlet.event.Event()
+    def _notify_readers(self) -> None:
+        if not self._results_changed.ready():
+            self._results_changed.send(None)
+            self._results_changed = eventlet.event.Event()
 
     # Gateways
 
@@ -302,7 +314,8 @@
         proposed = self._replica.propose(command, COMMIT_SECONDS)
         if isinstance(proposed, result.Ok):
             return messages.Submitted()
-        # Called not done, it would be refused with the promise that it never runs.
+        # The batch may still be committed. If the answer said that it was not, the
+        # gateway would refuse the batch with the promise that it never runs.
         is_unclear = proposed.err_value.may_have_applied
         return leader_service.UNCLEAR if is_unclear else None
 
@@ -317,7 +330,7 @@
             if results or kept.is_ended or remaining <= 0:
                 return messages.Page(True, kept.n_items, results)
             with eventlet.Timeout(remaining, False):
-                self._news.wait()
+                self._results_changed.wait()
 
     def _on_read_body(
         self, sender: transport.Sender, message: messages.ReadBody
@@ -350,7 +363,7 @@
 
 
 def _page(results: list[model.Result]) -> tuple[model.Result, ...]:
-    """Return as many results as fit into one page, at least one."""
+    """Return the results that fit into one page, at least one if there is any."""
     page: list[model.Result] = []
     n_bytes = 0
     for each in results:
--- a/bilberrydrum/batches/texts.py
+++ b/bilberrydrum/batches/texts.py
@@ -1,8 +1,9 @@
-"""An item's text while it is made: one chain of runs, each begun where the last ended.
+"""An item's text while it is generated, by one attempt or by several in turn.
 
-A text belongs to one item of one open batch; only the attempt under way at that item
-adds to it. What is handed over of it, to be kept by the group, is a chain as well: each
-save names the log entry that it follows.
+Each attempt resumes the text where the last one ended. A text belongs to one item of
+one open batch, and only that item's current attempt appends to it. The stores' group
+stores the text in parts, called saves. Each save names the log entry of the save that
+it follows.
 """
 
 from collections.abc import Collection
@@ -15,14 +16,14 @@
 
 @attrs.frozen(eq=False)
 class Save:
-    """A part of a text that was taken to be kept."""
+    """A part of a text that is being stored."""
 
     text: "Text"
     progress: model.Progress
 
-    def end(self, kept_by: int) -> None:
-        """Note the index of the log entry by which it is kept; 0: none is known."""
-        self.text.end_save(self, kept_by)
+    def end(self, saved_index: int) -> None:
+        """Record the index of the log entry that stored it; 0: none is known."""
+        self.text.record_save_end(self, saved_index)
 
 
 @attrs.define
@@ -31,32 +32,33 @@
 
     parts: list[bytes] = attrs.field(factory=list)
     versions: set[int] = attrs.field(factory=set)
-    # Number of the last whole event; None: nothing yet.
+    # Number of the last complete event; None: there is none yet.
     last_number: int | None = None
-    # Parts that were handed over to be kept.
-    n_taken: int = 0
-    # Index of the log entry by which they are kept; 0: none is known.
-    kept_by: int = 0
-    # Answers since the last event that had none and were whole.
+    # Number of parts in saves so far, the pending save included.
+    n_submitted: int = 0
+    # Index of the log entry of the last successful save; 0: not known.
+    saved_index: int = 0
+    # Complete answers without an event since the last event.
     n_empty_answers: int = 0
-    # What was handed over last, until it is known whether it is kept.
+    # The pending save, until its outcome is known.
     _save: Save | None = attrs.field(default=None, eq=False, repr=False)
 
     def clear(self) -> None:
-        """Begin anew."""
+        """Delete all events, so that the text restarts from its beginning."""
         self.parts.clear()
         self.versions.clear()
         self.last_number = None
         self.n_empty_answers = 0
-        self.forget_kept()
+        self.restart_saves()
 
     @classmethod
     def of_progress(cls, kept: model.KeptProgress) -> "Text":
-        """Return the text that was kept of an unfinished item."""
+        """Return the text that was stored of an unfinished item."""
         if len(kept.parts) != kept.last_number:
-            # Kept by an earlier release, which took streams that begin late: what is
-            # made after the last event follows it, and the text lacks its beginning.
-            # Events are numbered from 1, so their number shows it.
+            # Stored by an earlier release, which accepted streams that did not start
+            # with event 1. Later events would follow the last one, and the text would
+            # lack its beginning. Events are numbered from 1, so a last number that
+            # differs from the count shows it.
             return cls()
         return cls(
             list(kept.parts),
@@ -67,66 +69,70 @@
         )
 
     def copy(self) -> "Text":
-        """Return a text of its own with the same events, nothing of it handed over."""
+        """Return an independent copy of the events, of which nothing has been saved."""
         return Text(list(self.parts), set(self.versions), self.last_number)
 
-    def forget_kept(self) -> None:
-        """Have the next save hand over the whole text.
+    def restart_saves(self) -> None:
+        """Make the next save contain the complete text.
 
-        For a text that is not what was handed over and more, or that is kept elsewhere.
+        Needed when the text is no continuation of what was saved, or when it is not
+        known whether the last save was stored.
         """
-        self.n_taken = 0
-        self.kept_by = 0
+        self.n_submitted = 0
+        self.saved_index = 0
         self._save = None
 
-    def take_progress(self, item_id: str) -> Save | None:
-        """Return what is to be kept besides what was taken before; None: nothing.
+    def begin_save(self, item_id: str) -> Save | None:
+        """Return a save of the parts that no save contains yet; None: nothing to save.
 
-        Nothing is taken before the last save has ended: the next one names the entry by
-        which that is kept.
+        No save begins before the last one has ended, because it names the log entry
+        that stored the last one.
         """
         if self._save is not None or self.last_number is None:
             return None
-        if len(self.parts) <= self.n_taken:
+        if len(self.parts) <= self.n_submitted:
             return None
         progress = model.Progress(
             item_id,
-            tuple(self.parts[self.n_taken :]),
+            tuple(self.parts[self.n_submitted :]),
             tuple(sorted(self.versions)),
             self.last_number,
-            self.n_taken,
-            self.kept_by,
+            self.n_submitted,
+            self.saved_index,
         )
-        self.n_taken = len(self.parts)
+        self.n_submitted = len(self.parts)
         self._save = Save(self, progress)
         return self._save
 
-    def end_save(self, save: Save, kept_by: int) -> None:
-        """Note what became of `save`; as in `Save.end`."""
+    def record_save_end(self, save: Save, saved_index: int) -> None:
+        """Record the outcome of `save`, as in `Save.end`."""
         if save is not self._save:
-            # Taken before the text began anew: what it says is not of this text.
+            # It began before the text was restarted, so it is no save of this text.
             return
         self._save = None
-        if kept_by:
-            self.kept_by = kept_by
+        if saved_index:
+            self.saved_index = saved_index
         else:
-            # Later parts would follow what is not kept, and a new leader would begin
-            # where this one was lost. A whole text follows nothing.
-            self.forget_kept()
+            # Later parts would follow a save that may not be stored and be refused, and
+            # a new leader would resume at the last stored event. A save of the complete
+            # text follows no other save.
+            self.restart_saves()
 
     def add(self, event: event_stream.Event, version: int) -> None:
-        """Add one event, made under `version`.
+        """Append one event, generated under weight version `version`.
 
         Raises
         ------
         EventError
-            If it does not follow the last one.
+            If the event does not follow the last one.
         """
         if event.number != (self.last_number or 0) + 1:
-            # Two runs that write one text, or one that goes on elsewhere than it was
-            # asked to, would leave an event out or in twice. All that is added comes by
-            # here, and the run that is refused begins the text anew.
-            detail = f"event {event.number} for a text that ends at {self.last_number}"
+            # Two attempts that write to one text, or one that resumes after another
+            # event than requested, would omit or repeat an event. Every event is added
+            # here, and an attempt that fails here restarts the text.
+            detail = (
+                f"got event {event.number}, expected the one after {self.last_number}"
+            )
             raise event_stream.EventError(detail)
         self.n_empty_answers = 0
         self.parts.append(event.data)
@@ -145,19 +151,22 @@
 
 @attrs.frozen
 class Bounds:
-    """The weight versions that an item's text may come from."""
+    """The weight versions that may generate an item's text."""
 
     min_version: int = 0
     is_single: bool = False
 
     def allow(self, version: int, text: Text) -> bool:
-        """Tell whether the next event may be made under `version`."""
+        """Return whether `version` may generate the next event of `text`."""
         if version < self.min_version:
             return False
         return not self.is_single or not text.versions or text.versions == {version}
 
     def allow_all(self, versions: Collection[int]) -> bool:
-        """Tell whether a whole text may be made of `versions`; none: it is unknown."""
+        """Return whether `versions` may have generated a complete text.
+
+        No version means that they are unknown, and is not allowed.
+        """
         if not versions or min(versions) < self.min_version:
             return False
         return not self.is_single or len(set(versions)) == 1
--- a/bilberrydrum/batches/urgency.py
+++ b/bilberrydrum/batches/urgency.py
@@ -1,22 +1,24 @@
-"""In which order the items of open batches should start.
-
-Answers the load in which each trainer's batch fills the engines of its model and a few
-items are ten times as long as the others. A trainer waits for whole groups, so a batch
-is done when its longest item is. Started last, a long item adds its whole time to the
-wait for places: with the shortest groups first, items of 5 s began up to 3 s after
-their batch and ended after its deadline, while half of the places stood empty by then.
-
-So an item's rank is the latest time at which it may still start to be done in time:
-
-- long items start first, and short ones fill the places that are left;
-- batches that are due earlier go first as far as they need it, no further;
-- groups that the trainer doesn't wait for go last: those whose longest item is expected
-  to be the longest;
-- groups that cannot be whole in time any more go after those that can. At a load that
-  cannot be served, each late group would otherwise make another one late;
-- but not after those of their own trainer's next step: the trainer comes to the step
-  after that only once it is done with this one. Put behind, a step that a loss of power
-  had made late ended after its successor and held the trainer up for five seconds more.
+"""The order in which the items of open batches should start.
+
+The order is designed for a load in which each trainer's batch fills the engines of its
+model and a few items are ten times as long as the others. A trainer waits for complete
+groups, so a batch finishes with its longest item. A long item that starts last delays
+its batch by its full duration. With the shortest groups first, items of 5 s started up
+to 3 s after their batch and ended after its deadline, when half of the engine capacity
+was already idle.
+
+So an item is ranked by the latest time at which it can start and still be on time:
+
+- Long items start first, and short ones use the remaining capacity.
+- Batches that are due earlier go first, but only as far as they need to.
+- Surplus groups, which the trainer does not wait for, go last. They are the groups
+  whose longest item is expected to be the longest.
+- Groups that can no longer be complete in time go after those that can. Under overload,
+  each late group would otherwise make another one late.
+- A late group does not go after its own trainer's next step, because the trainer starts
+  the step after that only when it has finished this one. When late groups did, a step
+  that was late after a power failure ended after its successor and delayed the trainer
+  by another five seconds.
 """
 
 import enum
@@ -27,112 +29,114 @@
 
 GroupKey = tuple[str, str]
 
-# Time that one event takes before any was seen, in seconds: what full engines need.
+# Time per event that is assumed before any was measured, in seconds: that of a full
+# engine.
 FIRST_EVENT_SECONDS: Final = 0.05
-# Weight of one finished item in the pace: it follows a change within some 50 items,
-# which finish within a second when the engines are full.
+# Weight of one finished item in the moving averages of `Pace`. They follow a change
+# within some 50 items, which finish within a second when the engines are full.
 PACE_WEIGHT: Final = 0.02
-# Time that a scoring request takes before any was seen, in seconds: a few service times
-# of a plain service.
+# Time per scoring request that is assumed before any was measured, in seconds: a few
+# service times of a plain service.
 FIRST_SCORING_SECONDS: Final = 0.2
-# Time for a result to be committed and read, in seconds: readers come twice a second.
+# Time to commit and read a result, in seconds. Readers poll twice a second.
 READ_SECONDS: Final = 0.6
-# An item without a bound on its batch's time is due after this many seconds, so that
-# such batches are served in the order in which they came.
-UNBOUNDED_SECONDS: Final = 60.0
-# An item is held to be late only if even this share of its expected time is more than
-# is left. Estimates are off by half and more: taken at their word, they had a quarter
-# of the long items, of 4.8 s each, called late before they began, and these then began
-# 7 s after their batch.
-SURE_SHARE: Final = 0.4
+# A batch without a deadline is due this many seconds after its submission, so that
+# such batches are served in the order in which they were submitted.
+DEFAULT_DEADLINE_SECONDS: Final = 60.0
+# An item counts as late only if even this share of its expected duration exceeds the
+# remaining time. Estimates are wrong by half and more. With the full estimate, a
+# quarter of the long items (4.8 s each) counted as late before they had started, and
+# then started 7 s after their batch.
+MIN_TIME_SHARE: Final = 0.4
 
 
 class Tier(enum.IntEnum):
-    """Which items go before which others, whatever their times."""
+    """Priority classes of groups; a lower one goes first whatever the items' times."""
 
-    # Its group is waited for and can be whole in time, or holds up its trainer's next
-    # step.
+    # The trainer waits for the group, and the group can be complete in time or delays
+    # the trainer's next step.
     IN_TIME = 0
-    # Its group is waited for and will be late.
+    # The trainer waits for the group, which will be late.
     LATE = 1
-    # Its group is not waited for.
+    # The trainer does not wait for the group.
     SPARE = 2
 
 
 class Pace:
-    """How long items take, learned from those that finished."""
+    """Estimates of how long items take, as moving averages over finished items."""
 
     def __init__(self) -> None:
         self._event_seconds = FIRST_EVENT_SECONDS
         self._tokens_per_event = 1.0
-        self._has_noted = False
-        # How long a scoring request takes, without the wait for its turn.
+        self._has_samples = False
+        # Duration of a scoring request in seconds, without the wait before it is sent.
         self.scoring_seconds = FIRST_SCORING_SECONDS
 
-    def note_scoring(self, seconds: float) -> None:
-        """Take in how long a scoring request has taken that gave a score."""
+    def record_scoring(self, seconds: float) -> None:
+        """Record the duration, in seconds, of a scoring request that gave a score."""
         self.scoring_seconds += PACE_WEIGHT * (seconds - self.scoring_seconds)
 
-    def note(self, n_expected_tokens: int, n_events: int, seconds: float) -> None:
-        """Take in an item that one attempt has finished.
+    def record(self, n_expected_tokens: int, n_events: int, seconds: float) -> None:
+        """Record an item that a single attempt has completed.
 
         Parameters
         ----------
         n_expected_tokens : int
-            Output tokens that were expected of it.
+            Expected number of output tokens.
         n_events : int
-            Events that it took.
+            Number of events of the item.
         seconds : float
-            Time that the attempt took.
+            Duration of the attempt in seconds.
         """
         if n_events <= 0 or n_expected_tokens <= 0:
             return
-        weight = PACE_WEIGHT if self._has_noted else 1.0
-        self._has_noted = True
+        weight = PACE_WEIGHT if self._has_samples else 1.0
+        self._has_samples = True
         self._event_seconds += weight * (seconds / n_events - self._event_seconds)
         ratio = n_expected_tokens / n_events
         self._tokens_per_event += weight * (ratio - self._tokens_per_event)
 
     def remaining_seconds(self, n_expected_tokens: int, n_events: int) -> float:
-        """Return how long an item with `n_events` so far is likely to take."""
+        """Return the expected remaining time of an item with `n_events`, in seconds."""
         n_expected = n_expected_tokens / self._tokens_per_event
         return max(n_expected - n_events, 1.0) * self._event_seconds
 
 
 def spare_groups(
     longest_by_group: Mapping[GroupKey, int],
-    carried: frozenset[GroupKey],
+    resubmitted: frozenset[GroupKey],
     n_wanted: int,
 ) -> frozenset[GroupKey]:
-    """Return the groups of a batch that its submitter does not wait for.
+    """Return the surplus groups of a batch, which its submitter does not wait for.
 
     Parameters
     ----------
     longest_by_group : mapping
-        Output tokens expected of each group's longest item.
-    carried : frozenset
-        Groups that came back from an earlier batch; they are always waited for.
+        Expected output tokens of each group's longest item.
+    resubmitted : frozenset
+        Groups that were incomplete in an earlier batch. The submitter always waits for
+        them.
     n_wanted : int
-        Whole groups that are waited for; 0: all.
+        Number of complete groups that the submitter waits for; 0: all.
     """
     if not n_wanted:
         return frozenset()
-    n_free = max(n_wanted - len(carried), 0)
-    others = [each for each in longest_by_group if each not in carried]
+    n_free = max(n_wanted - len(resubmitted), 0)
+    others = [each for each in longest_by_group if each not in resubmitted]
     others.sort(key=lambda each: longest_by_group[each])
     return frozenset(others[n_free:])
 
 
 @attrs.frozen
 class Candidate:
-    """A waiting item, as far as the order matters."""
+    """The properties of a waiting item that determine its tier."""
 
     group_key: GroupKey
-    # When it cannot be done in time any more, in seconds of the clock.
+    # Time after which it can no longer be on time, in seconds of the clock.
     late_at: float
     is_spare: bool
     model: str = ""
-    # When its batch is due.
+    # Time at which its batch is due, in seconds of the clock.
     done_by: float = 0.0
 
 
--- a/bilberrydrum/batches/work.py
+++ b/bilberrydrum/batches/work.py
@@ -1,4 +1,4 @@
-"""The open batches and how far each item is, in the runner's memory."""
+"""The open batches and the state of each of their items, in the runner's memory."""
 
 import collections
 from collections.abc import Collection, Iterable, Iterator
@@ -8,9 +8,9 @@
 import eliot
 
 from bilberrydrum.batches import (
-    carried,
     lifecycle,
     model,
+    reusable,
     scheduling,
     scoring,
     texts,
@@ -18,8 +18,8 @@
 )
 from bilberrydrum.fleet import policy
 
-# Pause before an item that was turned away is sent again, in seconds: a place at an
-# engine comes free every 20 to 50 ms.
+# Pause before an item that an engine has rejected is sent again, in seconds. At a full
+# engine, a run slot becomes free every 20 to 50 ms.
 REJECTED_PAUSE_SECONDS: Final = 0.1
 
 
@@ -29,10 +29,10 @@
 
     kept: model.KeptBatch
     batch: model.Batch
-    # When it was submitted, in seconds of `clock.now`.
+    # Time of submission, in seconds of `clock.now`.
     submitted_at: float
     runs_by_item_id: dict[str, lifecycle.ItemRun]
-    # Groups that the trainer does not wait for.
+    # Surplus groups, which the trainer does not wait for.
     spare_groups: frozenset[urgency.GroupKey] = frozenset()
     is_ended: bool = False
 
@@ -41,7 +41,7 @@
         return self._in_stage(lifecycle.Stage.WAITING)
 
     def unscored_runs(self) -> Iterator[lifecycle.ItemRun]:
-        """Yield the items whose scoring request is to be made."""
+        """Yield the items whose scoring request has yet to be sent."""
         return self._in_stage(lifecycle.Stage.UNSCORED)
 
     def _in_stage(self, stage: lifecycle.Stage) -> Iterator[lifecycle.ItemRun]:
@@ -52,7 +52,7 @@
     def unscored(
         self, run: lifecycle.ItemRun, route: policy.Route | None
     ) -> scoring.Unscored:
-        """Return what the order of scoring requests needs to know of an item."""
+        """Return the data by which an item's scoring request is prioritized."""
         n_missing = sum(
             1
             for each in self.runs_by_item_id.values()
@@ -65,69 +65,70 @@
             self.done_by(route),
         )
 
-    def take_progress(self, min_events: int) -> list[texts.Save]:
-        """Return what is to be kept of the items that run.
+    def begin_saves(self, min_events: int) -> list[texts.Save]:
+        """Begin a save of each unfinished text that has enough new events.
 
-        `min_events` is the least number of new events that is worth keeping.
+        The caller must end each of them by `Save.end`. `min_events` is the minimum
+        number of new events for a save.
         """
-        taken = []
+        saves = []
         for item_id, run in self.runs_by_item_id.items():
-            n_new = len(run.text.parts) - run.text.n_taken
+            n_new = len(run.text.parts) - run.text.n_submitted
             if run.is_finished or n_new < min_events:
                 continue
-            progress = run.text.take_progress(item_id)
-            if progress is not None:
-                taken.append(progress)
-        return taken
+            save = run.text.begin_save(item_id)
+            if save is not None:
+                saves.append(save)
+        return saves
 
     def n_expected_output_tokens(self) -> int:
-        """Return the tokens that are likely to be generated for the whole batch."""
+        """Return the expected number of output tokens of all items."""
         runs = self.runs_by_item_id.values()
         return sum(each.n_expected_output_tokens() for each in runs)
 
     def route(self, routes: policy.RouteTable) -> policy.Route | None:
-        """Return the route that its items go by now; None: it was dropped."""
+        """Return the current route of its items; None: the route was removed."""
         path = self.batch.items[0].target.partition("?")[0]
         return routes.find(self.batch.host, path)
 
     def give_up_at(self, route: policy.Route | None) -> float:
-        """Return when its items may be given up, in seconds of `clock.now`."""
+        """Return when its unfinished items are given up, in seconds of `clock.now`."""
         if route is None or not route.max_queue_seconds:
             return float("inf")
         return self.submitted_at + route.max_queue_seconds
 
     def bounds(self, route: policy.Route | None) -> texts.Bounds:
-        """Return the weight versions that its texts may come from."""
+        """Return the weight versions that may generate its texts."""
         is_single = route is not None and route.is_single_version
         return texts.Bounds(self.batch.min_version, is_single)
 
     def due_at(self, route: policy.Route | None) -> float:
-        """Return when its results have to be there, in seconds of `clock.now`."""
+        """Return when its results are due at the reader, in seconds of `clock.now`."""
         seconds = route.result_deadline_seconds if route is not None else 0.0
-        return self.submitted_at + (seconds or urgency.UNBOUNDED_SECONDS)
+        return self.submitted_at + (seconds or urgency.DEFAULT_DEADLINE_SECONDS)
 
     def done_by(self, route: policy.Route | None) -> float:
-        """Return when its last item has to be done, in seconds of `clock.now`."""
+        """Return when its last item has to finish, in seconds of `clock.now`."""
         return self.due_at(route) - urgency.READ_SECONDS
 
 
-class Work:
-    """All open batches, and what is left of ended ones that can still be used."""
+class OpenBatches:
+    """All open batches, and the texts of ended ones that they may reuse."""
 
     def __init__(self) -> None:
         self._open_by_id: dict[str, OpenBatch] = {}
-        self._carried = carried.CarriedOver()
+        self._reusable = reusable.ReusableWork()
 
     def open_batches(self) -> list[OpenBatch]:
         """Return the open batches, the oldest first."""
         return list(self._open_by_id.values())
 
     def open(self, kept: model.KeptBatch, submitted_at: float) -> OpenBatch:
-        """Begin to run a batch."""
+        """Add a batch; its items continue from what is stored or reusable of them."""
         batch = kept.decode()
         finished = kept.finished_ids()
         runs = {}
-        left_groups = set()
+        resubmitted_groups = set()
         for item in batch.items:
             group_key = (batch.batch_id, item.group or item.item_id)
             run = lifecycle.ItemRun(item, group_key)
@@ -135,10 +136,10 @@
                 run.finish()
             else:
                 self._resume(run, kept, batch)
-            if self._carried.is_left(batch.account, item.item_id):
-                left_groups.add(group_key)
+            if self._reusable.was_in_incomplete_group(batch.account, item.item_id):
+                resubmitted_groups.add(group_key)
             runs[item.item_id] = run
-        spare = _spare_groups(batch, runs.values(), frozenset(left_groups))
+        spare = _spare_groups(batch, runs.values(), frozenset(resubmitted_groups))
         opened = OpenBatch(kept, batch, submitted_at, runs, spare)
         self._open_by_id[batch.batch_id] = opened
         return opened
@@ -146,13 +147,13 @@
     def _resume(
         self, run: lifecycle.ItemRun, kept: model.KeptBatch, batch: model.Batch
     ) -> None:
-        """Go on from what there is of an item."""
+        """Set the state of an item from its stored or reusable text."""
         item_id = run.item.item_id
         unscored = kept.unscored_by_item_id.get(item_id)
         if unscored is not None:
-            run.take_whole_text(unscored)
+            run.set_complete_text(unscored)
             return
-        run.text = self._carried.take_text(batch, run.item) or texts.Text()
+        run.text = self._reusable.pop_text(batch, run.item) or texts.Text()
         source = "carried"
         progress = kept.progress_by_item_id.get(item_id)
         if progress is not None:
@@ -160,7 +161,7 @@
             source = "kept"
         if run.text.last_number is not None:
             eliot.log_message(
-                message_type="batches:text-taken-up",
+                message_type="batches:text-resumed",
                 batch_id=kept.batch_id,
                 item_id=item_id,
                 source=source,
@@ -169,30 +170,31 @@
                 versions=sorted(run.text.versions),
             )
 
-    def carried_results(
+    def reusable_results(
         self, opened: OpenBatch, route: policy.Route | None
     ) -> list[model.Result]:
-        """Return whole texts of earlier batches that the batch may use.
+        """Return complete texts of earlier batches that the batch may reuse.
 
-        Those of items to be scored may have no score; their runs wait for it.
+        Their items are marked as finished. Where a text still lacks its score, the item
+        waits for the score instead.
         """
         bounds = opened.bounds(route)
         usable = []
         for run in opened.runs_by_item_id.values():
             if run.is_finished or run.unscored is not None:
                 continue
-            whole = self._carried.find_whole(opened.batch, run.item, bounds)
-            if whole is None:
+            complete = self._reusable.find_complete(opened.batch, run.item, bounds)
+            if complete is None:
                 continue
-            if run.item.is_settled_by(whole):
+            if run.item.is_finished_by(complete):
                 run.finish()
             else:
-                run.take_whole_text(whole)
-            usable.append(whole)
+                run.set_complete_text(complete)
+            usable.append(complete)
         return usable
 
     def count_running(self) -> collections.Counter[str]:
-        """Return how many items run, by the account that they belong to."""
+        """Return the number of running items by account."""
         counts: collections.Counter[str] = collections.Counter()
         for opened in self._open_by_id.values():
             counts[opened.batch.account or ""] += sum(
@@ -202,35 +204,35 @@
         return counts
 
     def find(self, key: tuple[str, str]) -> tuple[OpenBatch, lifecycle.ItemRun] | None:
-        """Return a batch and an item of it; None: the batch is not open."""
+        """Return a batch and one of its items; None: the batch is not open."""
         opened = self._open_by_id.get(key[0])
         return (opened, opened.runs_by_item_id[key[1]]) if opened else None
 
-    def finished(self, batch_id: str, item_ids: Iterable[str]) -> None:
-        """Note items whose results are committed."""
+    def mark_finished(self, batch_id: str, item_ids: Iterable[str]) -> None:
+        """Mark items whose results are committed as finished."""
         opened = self._open_by_id.get(batch_id)
         for item_id in item_ids:
             if opened is not None and item_id in opened.runs_by_item_id:
                 opened.runs_by_item_id[item_id].finish()
 
     def close(self, batch_id: str) -> OpenBatch | None:
-        """Take a batch that has ended out of the open ones; None: it is not open."""
+        """Remove and return a batch that has ended; None: it is not open."""
         opened = self._open_by_id.pop(batch_id, None)
         if opened is not None:
             opened.is_ended = True
         return opened
 
     def remember_closed(self, closed: OpenBatch) -> None:
-        """Remember what a later batch may use of one whose runs are broken off."""
+        """Remember the reusable texts of a batch whose runs were cancelled."""
         self.remember(closed.batch, closed.kept)
-        self._carried.remember_runs(closed.batch, closed.runs_by_item_id.values())
+        self._reusable.remember_runs(closed.batch, closed.runs_by_item_id.values())
 
     def remember(self, batch: model.Batch, kept: model.KeptBatch) -> None:
-        """Remember what an ended batch has left."""
-        self._carried.remember(batch, kept)
+        """Remember the reusable complete texts of an ended batch."""
+        self._reusable.remember(batch, kept)
 
     def of_model(self, model_name: str) -> list[OpenBatch]:
-        """Return the open batches of a model's trainer."""
+        """Return the open batches of a model."""
         return [
             each for each in self._open_by_id.values() if each.batch.model == model_name
         ]
@@ -239,14 +241,14 @@
 def _spare_groups(
     batch: model.Batch,
     runs: Iterable[lifecycle.ItemRun],
-    carried: frozenset[urgency.GroupKey],
+    resubmitted: frozenset[urgency.GroupKey],
 ) -> frozenset[urgency.GroupKey]:
     longest_by_group: dict[urgency.GroupKey, int] = {}
     for run in runs:
         n_tokens = run.n_expected_output_tokens()
         longest = longest_by_group.get(run.group_key, 0)
         longest_by_group[run.group_key] = max(longest, n_tokens)
-    return urgency.spare_groups(longest_by_group, carried, batch.n_wanted_groups)
+    return urgency.spare_groups(longest_by_group, resubmitted, batch.n_wanted_groups)
 
 
 def waiting_item(
@@ -255,19 +257,19 @@
     route: policy.Route,
     pace: urgency.Pace,
     served_versions: Collection[int],
-    is_doubtful: bool,
+    is_suspected: bool,
     now: float,
     precedence: policy.Precedence | None = None,
 ) -> scheduling.WaitingItem:
-    """Return what the choice of an engine needs to know of an item.
+    """Return the data by which an item is assigned to an engine.
 
-    `served_versions` are those of its model that some engine has.
+    `served_versions` are the versions of the item's model that some engine serves.
     """
     batch = opened.batch
     is_running = run.stage is lifecycle.Stage.GENERATING
     is_single = route.is_single_version and not is_running
     if is_single and not run.text.versions <= set(served_versions):
-        # All engines have left the text's version behind: nobody could go on with it.
+        # No engine serves the text's version any more, so none could resume it.
         run.text.clear()
     seconds = pace.remaining_seconds(
         run.n_expected_output_tokens(), len(run.text.parts)
@@ -282,7 +284,7 @@
         (batch.batch_id, run.item.item_id),
         run.group_key,
         done_by - seconds,
-        done_by - seconds * urgency.SURE_SHARE,
+        done_by - seconds * urgency.MIN_TIME_SHARE,
         run.group_key in opened.spare_groups,
         batch.model,
         batch.min_version,
@@ -291,7 +293,7 @@
         run.excluded_ids(now),
         only_version,
         done_by,
-        is_doubtful,
+        is_suspected,
         precedence or policy.Precedence(),
         batch.account or "",
     )
--- a/simulation/rollouts.py
+++ b/simulation/rollouts.py
@@ -195,7 +195,7 @@
         seconds += self._pace.scoring_seconds
         done_by = step.came_at + self._load.due_seconds - urgency.READ_SECONDS
         order = done_by if policy.has_old_steps_first else 0.0
-        late_at = done_by - seconds * urgency.SURE_SHARE
+        late_at = done_by - seconds * urgency.MIN_TIME_SHARE
         return scheduling.WaitingItem(
             item.key,
             item.group_key,
@@ -208,12 +208,12 @@
             done_by=order,
         )
 
-    def _place(self, engine: int) -> scheduling.Place:
+    def _place(self, engine: int) -> scheduling.EngineCapacity:
         n_models = len(self._load.trainers)
         versions = {f"m{n}": 0 for n in range(n_models)}
         running = self._running[engine]
         models = {f"m{engine % n_models}"} if self._policy.has_shares else set(versions)
-        return scheduling.Place(
+        return scheduling.EngineCapacity(
             str(engine),
             "engines",
             self._load.n_places,
@@ -247,7 +247,7 @@
     def _made_whole(self, item: _Item) -> None:
         item.ended_at = self._loop.now
         seconds = item.ended_at - item.began_at
-        self._pace.note(item.n_expected, item.n_events, seconds)
+        self._pace.record(item.n_expected, item.n_events, seconds)
         self._unscored[item.key] = (self._steps_by_batch[item.key[0]], item)
         self._score()
 
@@ -277,7 +277,7 @@
     def _scored(self, step: _Step, item: _Item, seconds: float) -> None:
         self._n_scoring -= 1
         item.is_finished = True
-        self._pace.note_scoring(seconds)
+        self._pace.record_scoring(seconds)
         self.figures.scoring_seconds.append(self._loop.now - item.ended_at)
         self._note_whole(step, item)
         self._score()
--- a/tests/batches_support.py
+++ b/tests/batches_support.py
@@ -48,6 +48,6 @@
     values = {"models": frozenset({"m"})}
     values.update(fields)
     service = values.pop("service", "s")
-    return scheduling.Place(
+    return scheduling.EngineCapacity(
         engine_id, service, n_slots, n_running, {"m": version}, **values
     )
--- a/tests/fakes/text_group.py
+++ b/tests/fakes/text_group.py
@@ -37,7 +37,7 @@
     """What runs at a host, begun as the leader of a term."""
 
     term: int
-    items: work.Work = attrs.field(factory=work.Work)
+    items: work.OpenBatches = attrs.field(factory=work.OpenBatches)
 
 
 @attrs.define
@@ -155,7 +155,7 @@
         self._propose(host, finish, [])
 
     def _save(self, host: group_hosts.Host, opened: work.OpenBatch) -> None:
-        saves = opened.take_progress(1)
+        saves = opened.begin_saves(1)
         if not saves:
             return
         progress = tuple(each.progress for each in saves)
@@ -218,7 +218,7 @@
         is_own = under_way.term == entry.term
         if is_own and isinstance(answer, commands.ProgressSaved):
             for each in under_way.saves:
-                each.end(answer.kept_by(each.progress.item_id))
+                each.end(answer.saved_index(each.progress.item_id))
         else:
             _end(under_way.saves)
 
@@ -240,7 +240,7 @@
             ]:
                 self._accept(runner, kept)
         elif isinstance(command, commands.FinishItems):
-            runner.items.finished(batch_id, command.finished_ids())
+            runner.items.mark_finished(batch_id, command.finished_ids())
         elif isinstance(command, commands.EndBatch):
             closed = runner.items.close(batch_id)
             if closed is not None:
--- a/tests/test_batches_assign.py
+++ b/tests/test_batches_assign.py
@@ -44,14 +44,14 @@
         On one engine again they would look alike for good, and the innocent one would
         be held back with the other.
         """
-        items = [waiting(each, group="g", is_doubtful=True) for each in "ab"]
+        items = [waiting(each, group="g", is_suspected=True) for each in "ab"]
         given = self.keys(items, [place(each, 6) for each in engine_ids])
         self.assertEqual([item_id for item_id, _ in given], taken, name)
         self.assertEqual(sorted(engine_id for _, engine_id in given), where, name)
 
     def test_doubtful_item_leaves_the_engine_to_others(self):
-        items = [waiting("doubtful", is_doubtful=True), waiting("other")]
-        given = self.keys(items, [place("e", 6, has_doubtful=True)])
+        items = [waiting("doubtful", is_suspected=True), waiting("other")]
+        given = self.keys(items, [place("e", 6, has_suspected=True)])
         self.assertEqual(given, [("other", "e")])
 
     def test_least_time_left_first(self):
--- a/tests/test_batches_ends.py
+++ b/tests/test_batches_ended.py
@@ -133,7 +133,7 @@
 
     def begin(self, n_items):
         self.engine = self.engine_server()
-        self.before_look = lambda: None
+        self.before_pass = lambda: None
         self.view = view = View(self.engine, n_slots=2 * n_items)
         means = attempts.Means(connections.Connections(), watch.Watch())
         rng = random.Random(1)
@@ -149,24 +149,22 @@
             may_send=self.may_send,
             holder="me",
         )
-        passing_on = relay.Relay(
+        relay_ = relay.Relay(
             protocol, view, means, balancing.Balancer("z", rng), rng, crashes
         )
         # It waits for news to gather, and may be at the end of that wait at any moment.
-        for name in ("_GATHER_SECONDS", "_REST_FACTOR"):
+        for name in ("_COALESCE_SECONDS", "_PAUSE_FACTOR"):
             gathering = mock.patch.object(runner, name, 0.0)
             gathering.start()
             self.addCleanup(gathering.stop)
-        self.runner = runner.BatchRunner(
-            protocol, view, means, given, passing_on, crashes
-        )
+        self.runner = runner.BatchRunner(protocol, view, means, given, relay_, crashes)
         self.runner.start([batch("b1", n_items)])
         self.addCleanup(self.runner.stop)
         self.wait_for(lambda: self.engine.n_running == n_items)
         clock.sleep(3 * EVENT_SECONDS)
 
     def may_send(self):
-        self.before_look()
+        self.before_pass()
         return True
 
     def wait_for(self, is_so):
@@ -219,10 +217,10 @@
         self.view.add("e2", other)
 
         def arm():
-            self.before_look = lambda: None
+            self.before_pass = lambda: None
             self.engine.finish("i1")
 
-        self.before_look = arm
+        self.before_pass = arm
         with self.slow("e1"):
             self.runner.wake()
             self.wait_for(lambda: len(self.results) == 2)
@@ -241,7 +239,7 @@
         other = self.engine_server()
         self.view.add("e2", other)
         take, send = item_sender.ItemSender.take_away, item_sender.ItemSender.send
-        ended, sent, looks = [], [], []
+        ended, sent, passes = [], [], []
 
         def end():
             self.runner.end("b1")
@@ -256,14 +254,14 @@
             sent.append((opened.batch.batch_id, run.item.item_id))
             send(sender, opened, run, engine)
 
-        self.before_look = lambda: looks.append(list(ended))
+        self.before_pass = lambda: passes.append(list(ended))
         with (
             self.slow("e1"),
             mock.patch.object(item_sender.ItemSender, "take_away", end_and_take_away),
             mock.patch.object(item_sender.ItemSender, "send", note_and_send),
         ):
             self.runner.wake()
-            self.wait_for(lambda: ended and looks[-1] == ["b1"])
+            self.wait_for(lambda: ended and passes[-1] == ["b1"])
         self.assertEqual(ended, ["b1"])
         self.assertEqual(sent, [])
         self.wait_for(lambda: self.engine.n_running == 0)
--- a/tests/test_batches_fairness.py
+++ b/tests/test_batches_fairness.py
@@ -81,7 +81,7 @@
                 self.n_in_time[key[0]] += is_in_time
 
     def start(self, now):
-        place = scheduling.Place("e", "s", N_PLACES, len(self.running), {})
+        place = scheduling.EngineCapacity("e", "s", N_PLACES, len(self.running), {})
         items = list(self.waiting.values())
         count = self.count_running if self.is_shared else lambda: {}
         if not self.is_shared:
--- a/tests/test_batches_place_heap.py
+++ b/tests/test_batches_place_heap.py
@@ -21,8 +21,8 @@
     excluded_ids=strategies.sampled_from(
         (frozenset(), frozenset({"e00"}), frozenset({"e01", "e03"}))
     ),
-    is_doubtful=strategies.sampled_from((False, False, True)),
-    is_at_slow=strategies.sampled_from((False, False, True)),
+    is_suspected=strategies.sampled_from((False, False, True)),
+    is_on_slow_engine=strategies.sampled_from((False, False, True)),
 )
 PLACES = strategies.builds(
     dict,
@@ -39,7 +39,7 @@
     n_cache_tokens=strategies.sampled_from((0, 8, 12)),
     n_tokens=strategies.integers(0, 10),
     groups=strategies.sets(strategies.integers(0, 4)),
-    has_doubtful=strategies.sampled_from((False, False, True)),
+    has_suspected=strategies.sampled_from((False, False, True)),
 )
 # Items that all places suit, and which differ in what they need of one.
 ALIKE_ITEMS = strategies.builds(
@@ -77,7 +77,7 @@
 
 def place_of(number, groups=(), **fields):
     keys = {group_key(each) for each in groups}
-    return scheduling.Place(f"e{number:02}", group_keys=keys, **fields)
+    return scheduling.EngineCapacity(f"e{number:02}", group_keys=keys, **fields)
 
 
 def can_take(place, item):
@@ -94,9 +94,9 @@
         and place.n_running < place.n_slots
         and place.engine_id not in item.excluded_ids
         and item.model not in place.loading_models
-        and not (item.is_at_slow and place.is_slow)
+        and not (item.is_on_slow_engine and place.is_slow)
         and has_version
-        and not (item.is_doubtful and place.has_doubtful)
+        and not (item.is_suspected and place.has_suspected)
         and (not place.n_cache_tokens or not place.n_running or fits)
     )
 
@@ -124,7 +124,7 @@
             place.n_running += 1
             place.n_tokens += item.n_tokens
             place.group_keys.add(item.group_key)
-            place.has_doubtful |= item.is_doubtful
+            place.has_suspected |= item.is_suspected
             given.append((item.key, place.engine_id))
     return given
 
@@ -165,7 +165,7 @@
         self.assertEqual(places, others)
 
 
-class CountedPlace(scheduling.Place):
+class CountedPlace(scheduling.EngineCapacity):
     """A place that counts how often anything of it is looked at."""
 
     n_looks = 0
--- a/tests/test_batches_progress.py
+++ b/tests/test_batches_progress.py
@@ -37,12 +37,12 @@
             text.add(event_stream.Event(n + 1, b"%d" % n), 1 + n // 3)
             if n % 2:
                 self.keep(text)
-        self.assertIsNone(text.take_progress("i0"))
-        opened = work.Work().open(self.kept(), 0.0)
+        self.assertIsNone(text.begin_save("i0"))
+        opened = work.OpenBatches().open(self.kept(), 0.0)
         again = opened.runs_by_item_id["i0"].text
         self.assertEqual(again.parts, [b"0", b"1", b"2", b"3"])
         self.assertEqual((again.versions, again.last_number), ({1, 2}, 4))
-        self.assertIsNone(again.take_progress("i0"))
+        self.assertIsNone(again.begin_save("i0"))
 
     def test_gap_is_not_joined(self):
         first = model.Progress("i0", (b"a",), (1,), 1)
@@ -72,7 +72,7 @@
         answer = self.apply(commands.SaveProgress("b", (part,)))
         parts = (b"x", b"y", b"z") if is_joined else (b"x", b"y")
         self.assertEqual(self.kept().progress_by_item_id["i0"].parts, parts, name)
-        self.assertEqual(answer.kept_by("i0"), self.index if is_joined else 0, name)
+        self.assertEqual(answer.saved_index("i0"), self.index if is_joined else 0, name)
 
     def test_two_releases_that_say_nothing(self):
         """A new leader goes on from a text that has events of two runs.
@@ -86,7 +86,7 @@
         )
         part = model.Progress("i0", (b"z",), (2,), 3, 2)
         answer = self.apply(commands.SaveProgress("b", (part,)))
-        self.assertEqual(answer.kept_by("i0"), 0)
+        self.assertEqual(answer.saved_index("i0"), 0)
         self.assertEqual(self.kept().progress_by_item_id["i0"].parts, (b"a", b"b"))
 
     def test_doubled_part_is_joined_once(self):
@@ -141,21 +141,21 @@
     def test_next_save_waits_for_the_end_of_the_last(self):
         text = texts.Text()
         generate(text, "only", 8, 1)
-        under_way = text.take_progress("i0")
+        under_way = text.begin_save("i0")
         generate(text, "only", 8, 1)
-        self.assertIsNone(text.take_progress("i0"))
+        self.assertIsNone(text.begin_save("i0"))
         under_way.end(7)
-        following = text.take_progress("i0").progress
+        following = text.begin_save("i0").progress
         self.assertEqual((following.n_before, following.follows), (8, 7))
 
     def test_end_of_a_save_says_nothing_of_a_text_that_began_anew(self):
         text = texts.Text()
         generate(text, "first", 8, 1)
-        under_way = text.take_progress("i0")
+        under_way = text.begin_save("i0")
         text.clear()
         generate(text, "second", 8, 2)
         under_way.end(7)
-        following = text.take_progress("i0").progress
+        following = text.begin_save("i0").progress
         self.assertEqual((following.n_before, following.follows), (0, 0))
 
     def test_text_that_began_anew_replaces(self):
@@ -167,17 +167,17 @@
 
     def keep(self, text):
         """Have what is new of `text` committed, and tell it so."""
-        save = text.take_progress("i0")
+        save = text.begin_save("i0")
         answer = self.apply(commands.SaveProgress("b", (save.progress,)))
-        save.end(answer.kept_by("i0"))
+        save.end(answer.saved_index("i0"))
 
     def lose(self, text):
         """Have what is new of `text` proposed and not committed."""
-        text.take_progress("i0").end(0)
+        text.begin_save("i0").end(0)
 
     def taken_up(self):
         """Return the text that a new leader goes on from."""
-        return work.Work().open(self.kept(), 0.0).runs_by_item_id["i0"].text
+        return work.OpenBatches().open(self.kept(), 0.0).runs_by_item_id["i0"].text
 
     def test_parts_of_two_texts_are_not_joined(self):
         """A result has the events of two runs, under the versions of the second alone.
@@ -224,10 +224,10 @@
         self.assertEqual(self.kept().progress_by_item_id, {})
 
     def test_only_what_is_worth_it_is_taken(self):
-        opened = work.Work().open(model.KeptBatch.of(batch(), 0.0), 0.0)
+        opened = work.OpenBatches().open(model.KeptBatch.of(batch(), 0.0), 0.0)
         text = opened.runs_by_item_id["i0"].text
         for n in range(7):
             text.add(event_stream.Event(n + 1, b"x"), 1)
-        self.assertEqual(opened.take_progress(8), [])
+        self.assertEqual(opened.begin_saves(8), [])
         text.add(event_stream.Event(8, b"x"), 1)
-        self.assertEqual(len(opened.take_progress(8)), 1)
+        self.assertEqual(len(opened.begin_saves(8)), 1)
--- a/tests/test_batches_carried.py
+++ b/tests/test_batches_reusable.py
@@ -17,14 +17,14 @@
     """Groups that were not complete come again in a later batch."""
 
     def reopen(self, kept_results, min_version, is_complete=False):
-        known = work.Work()
+        known = work.OpenBatches()
         earlier = batch("b1", 2 if not is_complete else 1)
         kept = model.KeptBatch.of(earlier, 0.0)
         kept.results = list(kept_results)
         known.remember(earlier, kept)
         later = model.KeptBatch.of(batch("b2", 2, min_version=min_version), 8.0)
         opened = known.open(later, 8.0)
-        return opened, known.carried_results(opened, None)
+        return opened, known.reusable_results(opened, None)
 
     @tools.params(
         ("fits", [result(versions=(2, 3))], 2, ["i0"]),
@@ -32,8 +32,8 @@
         ("given up", [model.Result("i0", model.ItemState.TERMINATED)], 0, []),
     )
     def test_results(self, name, kept, min_version, expected):
-        _, carried = self.reopen(kept, min_version)
-        self.assertEqual([each.item_id for each in carried], expected, name)
+        _, reused = self.reopen(kept, min_version)
+        self.assertEqual([each.item_id for each in reused], expected, name)
 
     @tools.params(("acme", True), ("beta", False), (None, False))
     def test_texts_belong_to_accounts(self, account, is_found):
@@ -42,7 +42,7 @@
         Given what was generated under that id before, it would read another account's
         text, and wait for groups that are none of its own.
         """
-        known = work.Work()
+        known = work.OpenBatches()
         earlier = attrs.evolve(batch("b1", 3), account="acme")
         kept = model.KeptBatch.of(earlier, 0.0)
         kept.results = [result(versions=(2,))]
@@ -51,7 +51,7 @@
         known.remember_closed(known.close("b1"))
         later = attrs.evolve(batch("b2", 3, n_wanted_groups=1), account=account)
         again = known.open(model.KeptBatch.of(later, 8.0), 8.0)
-        found = [each.item_id for each in known.carried_results(again, None)]
+        found = [each.item_id for each in known.reusable_results(again, None)]
         self.assertEqual(found, ["i0"] if is_found else [])
         went_on = again.runs_by_item_id["i1"].text.last_number == 1
         self.assertEqual(went_on, is_found)
@@ -69,7 +69,7 @@
         Given what the id stood for before, the item's text would be another prompt's,
         or begin with another's and go on with its own.
         """
-        known = work.Work()
+        known = work.OpenBatches()
         earlier = batch("b1", 3)
         kept = model.KeptBatch.of(earlier, 0.0)
         kept.results = [result(versions=(2,))]
@@ -80,26 +80,26 @@
         model_name = "m" if name == "another model" else ""
         later = attrs.evolve(earlier, batch_id="b2", items=items, model=model_name)
         again = known.open(model.KeptBatch.of(later, 8.0), 8.0)
-        found = [each.item_id for each in known.carried_results(again, None)]
+        found = [each.item_id for each in known.reusable_results(again, None)]
         self.assertEqual(found, ["i0"] if is_found else [], name)
         went_on = again.runs_by_item_id["i1"].text.last_number == 1
         self.assertEqual(went_on, is_found, name)
 
     def test_finished_text_is_kept_once(self):
         """Hundreds of items a minute finish in the memory of one process."""
-        known = work.Work()
+        known = work.OpenBatches()
         opened = known.open(model.KeptBatch.of(batch("b1", 2), 0.0), 0.0)
         for item_id in ("i0", "i1"):
             run = opened.runs_by_item_id[item_id]
             run.text.add(event_stream.Event(1, b"a"), 2)
-            known.finished("b1", [item_id])
+            known.mark_finished("b1", [item_id])
             self.assertEqual(run.text.parts, [])
         known.remember_closed(known.close("b1"))
         again = known.open(model.KeptBatch.of(batch("b2", 2), 8.0), 8.0)
         self.assertIsNone(again.runs_by_item_id["i0"].text.last_number)
 
     def test_unfinished_text_goes_on(self):
-        known = work.Work()
+        known = work.OpenBatches()
         opened = known.open(model.KeptBatch.of(batch("b1", 2), 0.0), 0.0)
         run = opened.runs_by_item_id["i0"]
         run.text.add(event_stream.Event(1, b"a"), 2)
@@ -118,7 +118,7 @@
         With one text for both, the later batch's attempt, asked to go on after event
         1, adds event 2 to a text that has it already, or to one that is empty.
         """
-        known = work.Work()
+        known = work.OpenBatches()
         opened = known.open(model.KeptBatch.of(batch("b1", 2), 0.0), 0.0)
         run = opened.runs_by_item_id["i0"]
         run.text.add(event_stream.Event(1, b"a"), 2)
@@ -139,11 +139,11 @@
         The second group comes again. Not known as such it goes behind all others, and
         its trainer waits for it until its time is up.
         """
-        known = work.Work()
+        known = work.OpenBatches()
         kept = model.KeptBatch.of(batch("b1", 4), 0.0)
         opened = known.open(kept, 0.0)
         kept.results = [result(each) for each in finished]
-        known.finished("b1", finished)
+        known.mark_finished("b1", finished)
         if has_begun:
             opened.runs_by_item_id["i3"].text.add(event_stream.Event(1, b"a"), 2)
         known.remember_closed(known.close("b1"))
--- a/tests/test_batches_look.py
+++ b/tests/test_batches_scheduling_pass.py
@@ -41,7 +41,7 @@
     )
 
 
-class LookCase(unittest.TestCase):
+class SchedulingPassCase(unittest.TestCase):
     """A runner whose looks are called by hand; nothing is sent."""
 
     def setUp(self):
@@ -80,14 +80,14 @@
             self.view.registry.index + 1, counted.CountedTuple(upstreams)
         )
 
-    def look(self):
+    def run_pass(self):
         """Look once; return the engines that items are sent to."""
         with mock.patch.object(self.runner._items, "send") as send:
-            self.runner._look()
+            self.runner._run_pass()
         return [call.args[2] for call in send.call_args_list]
 
 
-class ManyItems(LookCase):
+class ManyItems(SchedulingPassCase):
     def test_versions_are_gathered_once(self):
         """600 items of one version each wait before 3,000 engines.
 
@@ -101,11 +101,11 @@
             return whole(known, name)
 
         with mock.patch.object(engines.Engines, "versions_of", versions_of):
-            self.assertEqual(len(self.look()), N_ITEMS)
+            self.assertEqual(len(self.run_pass()), N_ITEMS)
         self.assertEqual(asked, ["m"])
 
 
-class ManyEngines(LookCase):
+class ManyEngines(SchedulingPassCase):
     """Most looks find the registry as it was."""
 
     def test_registry_is_gone_through_once(self):
@@ -114,23 +114,23 @@
         Looks come with each item and each load that ends, a hundred times a second; the
         registry, which changes less often, was gone through at each.
         """
-        self.look()
+        self.run_pass()
         counted.CountedTuple.n_passes = 0
         for _ in range(5):
-            self.look()
+            self.run_pass()
         self.assertEqual(counted.CountedTuple.n_passes, 0)
         self.change(upstream(0), upstream(1))
-        self.look()
+        self.run_pass()
         self.assertEqual(counted.CountedTuple.n_passes, 1)
 
     def test_change_of_the_registry(self):
-        self.look()
+        self.run_pass()
         stays, goes, is_new = upstream(0), upstream(1), upstream(50)
         self.change(stays, goes)
-        self.look()
+        self.run_pass()
         leaving = attrs.evolve(stays, is_leaving=True)
         self.change(attrs.evolve(leaving, versions_by_model={"m": 2}), is_new)
-        sent_to = {each.upstream_id for each in self.look()}
+        sent_to = {each.upstream_id for each in self.run_pass()}
         known = self.runner._engines.by_id
         self.assertEqual(known.keys(), {"e00", "e50"})
         self.assertEqual(known["e00"].versions_by_model, {"m": 2})
@@ -145,24 +145,24 @@
         has to outlive the answer.
         """
         self.change(upstream(0, version=2))
-        self.look()
+        self.run_pass()
         self.runner._engines.by_id["e00"].correct_version("m", answered)
-        self.look()
+        self.run_pass()
         versions = self.runner._engines.by_id["e00"].versions_by_model
         self.assertEqual(versions, {"m": expected}, name)
 
     def test_change_of_the_policy(self):
-        self.look()
+        self.run_pass()
         policy_ = self.view.routes.policy
         service = policy.Service("s", models=("m",), n_cache_tokens=99)
         changed = attrs.evolve(policy_, version=2, services=(service,))
         self.view.routes = policy.RouteTable(changed)
-        self.look()
+        self.run_pass()
         known = self.runner._engines.by_id.values()
         self.assertEqual({each.n_cache_tokens for each in known}, {99})
 
 
-class LongLooks(LookCase):
+class LongPasses(SchedulingPassCase):
     """Items and loads end all the time, and each end makes a look due."""
 
     STEP_SECONDS = 0.005
@@ -173,30 +173,30 @@
         ("3,000 engines", 0.06, 7, 9, 0.36),
         ("stalled while it looked", 1.0, 3, 5, 1.0),
     )
-    def test_time_for_others(self, name, look_seconds, least, most, share):
+    def test_time_for_others(self, name, pass_seconds, least, most, share):
         """Nearly nothing is served before 3,000 engines, by a process at full load.
 
         A look was due 10 ms after the last, however long that had taken. With looks of
         60 ms the process had a seventh of its time left to read the events of all
         items, and to commit their results.
         """
-        looks = []
+        passes = []
 
-        def look():
-            looks.append(look_seconds)
-            manual.advance(look_seconds)
+        def run_pass():
+            passes.append(pass_seconds)
+            manual.advance(pass_seconds)
 
         with helpers.manual_clock() as manual:
             began = manual()
-            with mock.patch.object(self.runner, "_look", look):
+            with mock.patch.object(self.runner, "_run_pass", run_pass):
                 self.runner.start([])
                 for _ in range(self.N_STEPS):
                     self.work()
                     manual.advance(self.STEP_SECONDS)
             self.runner.stop()
             seconds = manual() - began
-        self.assertTrue(least <= len(looks) <= most, (name, len(looks)))
-        self.assertLessEqual(sum(looks) / seconds, share, name)
+        self.assertTrue(least <= len(passes) <= most, (name, len(passes)))
+        self.assertLessEqual(sum(passes) / seconds, share, name)
 
     def work(self):
         """Stand for the other tasks, one of which ends an item."""
@@ -205,7 +205,7 @@
             eventlet.sleep(0)
 
 
-class CallsPerEngine(LookCase):
+class CallsPerEngine(SchedulingPassCase):
     """What a look costs for each engine, in calls of functions."""
 
     def test_nothing_waits(self):
@@ -221,13 +221,13 @@
     def n_calls(self, n_engines):
         """Return how many calls a look before so many engines makes."""
         self.change(*(upstream(n) for n in range(n_engines)))
-        self.look()
+        self.run_pass()
         for number, engine in enumerate(self.runner._engines.by_id.values()):
             engine.note_pause(0.03 + number % 7 / 1000, clock.now())
         events = collections.Counter()
         sys.setprofile(lambda frame, event, argument: events.update((event,)))
         try:
-            self.look()
+            self.run_pass()
         finally:
             sys.setprofile(None)
         return events["call"] + events["c_call"]
--- a/tests/test_batches_score_sender.py
+++ b/tests/test_batches_score_sender.py
@@ -144,9 +144,9 @@
         )
         self.addCleanup(self.sender.stop)
         kept = model.KeptBatch.of(test_batches_scoring.batch(n_items=n_items), 0.0)
-        self.opened = work.Work().open(kept, clock.now())
+        self.opened = work.OpenBatches().open(kept, clock.now())
         for item_id, run in self.opened.runs_by_item_id.items():
-            run.take_whole_text(test_batches_scoring.text_of(item_id))
+            run.set_complete_text(test_batches_scoring.text_of(item_id))
 
     def step(self):
         self.sender.step([self.opened], clock.now())
--- a/tests/test_batches_scoring.py
+++ b/tests/test_batches_scoring.py
@@ -125,12 +125,12 @@
 
     def test_next_leader_scores_and_does_not_generate(self):
         self.keep_text()
-        opened = work.Work().open(self.kept(), 0.0)
+        opened = work.OpenBatches().open(self.kept(), 0.0)
         self.assertEqual([e.item.item_id for e in opened.unscored_runs()], ["i0"])
         self.assertEqual([e.item.item_id for e in opened.waiting_runs()], ["i1"])
         run = opened.runs_by_item_id["i0"]
         self.assertEqual(run.unscored.text, b"a\nb")
-        self.assertEqual(opened.take_progress(0), [])
+        self.assertEqual(opened.begin_saves(0), [])
 
     def test_joined_keeps_the_order_of_each_item(self):
         given = [
@@ -138,7 +138,7 @@
             commands.FinishItems("c", results=(text_of("i9"),)),
             commands.FinishItems("b", scores=(commands.Score("i0", "mark"),)),
         ]
-        joined = commands.joined(given)
+        joined = commands.merge_by_batch(given)
         self.assertEqual([each.batch_id for each in joined], ["b", "c"])
         self.assertEqual(joined[0].finished_ids(), ["i0"])
         self.apply(joined[0])
@@ -156,7 +156,7 @@
         run.text.add(event_stream.Event(1, b"a"), 1)
         run.begin_generating("e")
         run.end_generating()
-        run.take_whole_text(text_of())
+        run.set_complete_text(text_of())
         self.assertEqual((run.stage, run.text.parts), (Stage.UNSCORED, []))
         run.begin_scoring()
         run.end_scoring()
@@ -168,7 +168,7 @@
 
     @tools.params(
         ("attempt ends", lambda run: run.end_generating()),
-        ("text comes", lambda run: run.take_whole_text(text_of())),
+        ("text comes", lambda run: run.set_complete_text(text_of())),
         ("scoring ends", lambda run: run.end_scoring()),
     )
     def test_nothing_leads_out_of_the_end(self, name, event):
@@ -188,16 +188,16 @@
     """Groups that were not complete come again in a later batch."""
 
     def carry(self, later, has_score):
-        known = work.Work()
+        known = work.OpenBatches()
         kept = model.KeptBatch.of(batch("b1"), 0.0)
         opened = known.open(kept, 0.0)
         if has_score:
             kept.results = [attrs.evolve(text_of(versions=(2,)), score="mark")]
         else:
-            opened.runs_by_item_id["i0"].take_whole_text(text_of(versions=(2,)))
+            opened.runs_by_item_id["i0"].set_complete_text(text_of(versions=(2,)))
         known.remember_closed(known.close("b1"))
         again = known.open(model.KeptBatch.of(later, 8.0), 8.0)
-        carried = known.carried_results(again, None)
+        carried = known.reusable_results(again, None)
         run = again.runs_by_item_id["i0"]
         return run.stage, [each.score for each in carried]
 
--- a/tests/test_batches_service.py
+++ b/tests/test_batches_service.py
@@ -71,7 +71,7 @@
             if item.item_id not in finished:
                 self.open_ids.add((kept.batch_id, item.item_id))
 
-    def finished(self, batch_id, item_ids):
+    def mark_finished(self, batch_id, item_ids):
         self.finished_by_batch.setdefault(batch_id, []).extend(item_ids)
 
     def end(self, batch_id):
@@ -93,7 +93,7 @@
         self.addCleanup(made.stop)
         self.replica = Replica(helpers.ManualClock(1000.0))
         self.carrier = mock.Mock(process_id="me")
-        given = dict.fromkeys(("view", "protocol", "means", "passing_on", "crashes"))
+        given = dict.fromkeys(("view", "protocol", "means", "relay_", "crashes"))
         self.service = service.BatchService(
             self.replica,
             self.carrier,
@@ -107,7 +107,7 @@
         self.addCleanup(self.service.stop)
         self.wait_for(lambda: len(self.runners) == 1)
 
-    def make_runner(self, protocol, view, means, hooks, passing_on, crashes):
+    def make_runner(self, protocol, view, means, hooks, relay_, crashes):
         self.runners.append(Runner(hooks))
         return self.runners[-1]
 
@@ -285,11 +285,11 @@
         for number in (1, 2):
             text.add(event_stream.Event(number, b"e"), 1)
         self.replica.intervene = intervene
-        self.runners[0].hooks.save("b", (text.take_progress("i0"),))
+        self.runners[0].hooks.save("b", (text.begin_save("i0"),))
         n_proposed = len(self.replica.proposed)
         self.wait_for(self.n_proposed(n_proposed + 1))
         text.add(event_stream.Event(3, b"e"), 1)
-        following = text.take_progress("i0")
+        following = text.begin_save("i0")
         self.assertIsNotNone(following, name)
         self.assertEqual(following.progress.n_before, n_before, name)
         self.assertEqual(bool(following.progress.follows), bool(n_before), name)
--- a/tests/test_batches_slow_engines.py
+++ b/tests/test_batches_slow_engines.py
@@ -108,7 +108,7 @@
 
         Left there, they would take four times as long and hold up their trainer.
         """
-        items = [waiting(each, is_at_slow=True) for each in ("x", "y", "z")]
+        items = [waiting(each, is_on_slow_engine=True) for each in ("x", "y", "z")]
         places = [place("slow", 9, is_slow=True), place("e2", 4, n_running=2)]
         moved = [each.engine_id for each in scheduling.assign(items, places, 0.0)]
         self.assertEqual(moved, ["e2", "e2"])
@@ -124,7 +124,7 @@
         times as long; its trainer, which waits for it, misses its next steps.
         """
         items = [
-            waiting("slow", start_by=slow, is_at_slow=True),
+            waiting("slow", start_by=slow, is_on_slow_engine=True),
             waiting("waits", start_by=waits),
         ]
         places = [place("slow", 6, is_slow=True, n_running=6), place("e2", 1)]
--- a/tests/test_batches_stop.py
+++ b/tests/test_batches_stop.py
@@ -3,10 +3,10 @@
 import eventlet
 
 from bilberrydrum import clock
-from tests import test_batches_ends as ends
+from tests import test_batches_ended as ended_batches
 
 
-class Stop(ends.RunnerCase):
+class Stop(ended_batches.RunnerCase):
     def test_stop_that_was_itself_broken_off(self):
         """A store that is told to stop ends with a traceback, and its items run on.
 
@@ -25,5 +25,5 @@
         first.kill()
         self.runner.stop()
         self.wait_for(lambda: self.engine.n_running == 0)
-        clock.sleep(2 * ends.EVENT_SECONDS)
+        clock.sleep(2 * ended_batches.EVENT_SECONDS)
         self.assertEqual(len(self.engine.received), 4)
--- a/tests/test_batches_texts.py
+++ b/tests/test_batches_texts.py
@@ -125,7 +125,7 @@
             (policy.Share("s", 1.0),),
             is_single_version=is_single,
         )
-        opened = work.Work().open(model.KeptBatch.of(batch(), 0.0), 0.0)
+        opened = work.OpenBatches().open(model.KeptBatch.of(batch(), 0.0), 0.0)
         run = opened.runs_by_item_id["i0"]
         run.text.add(event_stream.Event(1, b"a"), 1)
         item = work.waiting_item(opened, run, route, urgency.Pace(), served, False, 0.0)
--- a/tests/test_batches_urgency.py
+++ b/tests/test_batches_urgency.py
@@ -51,7 +51,7 @@
     def test_order_is_by_what_is_left(self):
         """The scheduler starts the long items of the batch before the short ones."""
         pace = urgency.Pace()
-        pace.note(100, 100, 5.0)
+        pace.record(100, 100, 5.0)
         items = []
         for number, seconds in enumerate(batch_seconds()):
             left = pace.remaining_seconds(round(seconds / 0.05), 0)
@@ -62,7 +62,9 @@
                     key, group, 7.5 - left, 7.5, False, "m", 1, frozenset({"s"})
                 )
             )
-        places = [scheduling.Place(f"e{n}", "s", 6, 0, {"m": 1}) for n in range(3)]
+        places = [
+            scheduling.EngineCapacity(f"e{n}", "s", 6, 0, {"m": 1}) for n in range(3)
+        ]
         started = [each.key[1] for each in scheduling.assign(items, places, 0.0)]
         self.assertEqual(len(started), 18)
         n_long = sum(1 for each in started if int(each) % 10 == 0)
@@ -150,8 +152,8 @@
         ("a long one came back", {("b", "y")}, 2, {("b", "z")}),
         ("more came back", {("b", "y"), ("b", "z")}, 1, {("b", "x")}),
     )
-    def test_groups(self, name, carried, n_wanted, expected):
-        spare = urgency.spare_groups(self.LONGEST, frozenset(carried), n_wanted)
+    def test_groups(self, name, resubmitted, n_wanted, expected):
+        spare = urgency.spare_groups(self.LONGEST, frozenset(resubmitted), n_wanted)
         self.assertEqual(spare, expected, name)
 
 
@@ -169,14 +171,14 @@
     )
     def test_learned(self, name, n_tokens, n_events, expected):
         pace = urgency.Pace()
-        pace.note(200, 20, 1.0)
+        pace.record(200, 20, 1.0)
         seconds = pace.remaining_seconds(n_tokens, n_events)
         self.assertAlmostEqual(seconds, expected, msg=name)
 
     @tools.params((0, 5), (5, 0))
     def test_says_nothing(self, n_tokens, n_events):
         pace = urgency.Pace()
-        pace.note(n_tokens, n_events, 100.0)
+        pace.record(n_tokens, n_events, 100.0)
         self.assertAlmostEqual(
             pace.remaining_seconds(1, 0), urgency.FIRST_EVENT_SECONDS
         )
