--- a/tests/batches_support.py
+++ b/tests/batches_support.py
@@ -1,4 +1,4 @@
-"""Batches, and items that wait for places at engines, for tests."""
+"""Batches, waiting items and engine capacities for tests."""
 
 from bilberrydrum import event_stream
 from bilberrydrum.batches import commands, model, scheduling
@@ -22,12 +22,12 @@
 
 
 def generated(run, first, n_events):
-    """Return the data of events of the run of this name."""
+    """Return the data of events that the named run generates."""
     return [f"{run} {n}".encode() for n in range(first, first + n_events)]
 
 
 def generate(text, run, n_events, version):
-    """Add the next events of a run to `text`."""
+    """Append the next events of a run to `text`."""
     first = (text.last_number or 0) + 1
     for n, data in enumerate(generated(run, first, n_events), first):
         text.add(event_stream.Event(n, data), version)
--- a/tests/fakes/batching.py
+++ b/tests/fakes/batching.py
@@ -1,8 +1,9 @@
 """Continuous batching, as a model engine does it: one token per stream and step.
 
-Each step makes one token for every running stream with the weight version in use at
-that step. A stream that ends or is cancelled frees its place for the waiting one with
-the lowest priority value. A prompt whose prefix is not cached costs extra steps first.
+Each step generates one token for every running stream, with the weight version in use
+at that step. A stream that ends or is cancelled frees its run slot for the waiting
+stream with the lowest priority value. A stream whose prompt's prefix is not cached
+first takes extra steps.
 """
 
 import collections
@@ -21,15 +22,15 @@
 
 from tests.fakes import tokens
 
-# Shape of the distribution of lengths: the smaller, the heavier its tail.
+# Shape of the Pareto distribution of lengths; a smaller value gives a heavier tail.
 LENGTH_SHAPE: Final = 1.4
-# A load report tells what was the case this many steps ago.
+# Share of the KV cache that one running stream uses.
 MEMORY_PER_STREAM: Final = 0.04
 
 
 @attrs.frozen
-class Made:
-    """Tokens made for a stream in one event."""
+class TokenEvent:
+    """The tokens that one event of a stream contains."""
 
     token_ids: tuple[int, ...]
     weight_version: int
@@ -46,21 +47,22 @@
     max_tokens: int
     priority: int
     n_made: int
-    # Tokens it will have in all; more than `max_tokens` if the length ends it.
+    # Total number of tokens it would have. If it is more than `max_tokens`, the stream
+    # ends there with the finish reason "length".
     length: int
     prefill_steps: int = 0
     is_cancelled: bool = False
-    # Faults: made with a later version than the one in use.
+    # Simulated fault: number of versions by which it is ahead of the one in use.
     n_versions_ahead: int = 0
     events: queue.LightQueue = attrs.field(factory=queue.LightQueue)
-    # Tokens made and not yet sent, all of one version.
+    # Tokens generated and not yet sent, all of one version.
     pending: list[int] = attrs.field(factory=list)
     pending_version: int = -1
 
 
 @attrs.define
 class Settings:
-    """How an engine works; all may be changed while it runs."""
+    """Parameters of an engine; all of them may be changed while it runs."""
 
     step_seconds: float
     max_concurrency: int
@@ -72,16 +74,16 @@
 
 
 class PrefixCache:
-    """The prompts' prefixes in memory; the one not used for longest goes first."""
+    """The prompt prefixes in memory, with least-recently-used eviction."""
 
     def __init__(self, size: int) -> None:
         self._size = size
         self._used: collections.OrderedDict[str, None] = collections.OrderedDict()
-        # What changed since it was last asked for.
+        # Changes since the last call of `take_changes`.
         self.changes: list[dict[str, str]] = []
 
     def use(self, prefix: str) -> bool:
-        """Take a prefix into use; tell whether it was in memory."""
+        """Store a prefix or mark it as used; return whether it was in memory."""
         if prefix in self._used:
             self._used.move_to_end(prefix)
             return True
@@ -93,7 +95,7 @@
         return False
 
     def take_changes(self) -> list[dict[str, str]]:
-        """Return the changes since the last call."""
+        """Return and clear the changes since the last call."""
         changes, self.changes = self.changes, []
         return changes
 
@@ -104,11 +106,11 @@
     Parameters
     ----------
     settings : Settings
-        How the engine works.
+        Parameters of the engine.
     versions_by_model : dict
-        The weight version in use, by model; read anew at each step.
+        The weight version in use, by model; read again at each step.
     seed : int
-        Seed of the lengths.
+        Seed of the random lengths.
     """
 
     def __init__(
@@ -127,7 +129,7 @@
 
     @property
     def n_waiting(self) -> int:
-        """Return the number of streams that wait for a place."""
+        """Return the number of streams that wait for a run slot."""
         return len(self._waiting)
 
     @property
@@ -136,7 +138,7 @@
         return min(1.0, MEMORY_PER_STREAM * len(self.running))
 
     def is_full(self) -> bool:
-        """Tell whether a new stream would be refused."""
+        """Return whether a new stream would be refused."""
         n_streams = len(self.running) + len(self._waiting)
         settings = self.settings
         return n_streams >= settings.max_concurrency + settings.max_waiting
@@ -150,7 +152,7 @@
         priority: int,
         n_made: int,
     ) -> Stream:
-        """Take on a generation that goes on after `n_made` tokens."""
+        """Queue a generation that continues after `n_made` tokens."""
         stream = Stream(
             request_id,
             model,
@@ -167,7 +169,7 @@
         return stream
 
     def run(self) -> None:
-        """Make steps for ever."""
+        """Run steps forever."""
         while True:
             self._admit()
             if not self.running:
@@ -179,7 +181,7 @@
             self._step()
 
     def _admit(self) -> None:
-        """Give free places to waiting streams."""
+        """Assign free run slots to waiting streams."""
         while self._waiting and len(self.running) < self.settings.max_concurrency:
             _, _, stream = heapq.heappop(self._waiting)
             if stream.is_cancelled:
@@ -198,7 +200,7 @@
         self.running = [s for s in self.running if not s.is_cancelled]
 
     def _advance(self, stream: Stream) -> None:
-        """Make one token, or a part of the prompt's cost."""
+        """Generate one token, or process one step of the prompt."""
         if stream.prefill_steps > 0:
             stream.prefill_steps -= 1
             return
@@ -222,14 +224,14 @@
             self._send(stream, None)
 
     def _send(self, stream: Stream, finish_reason: str | None) -> None:
-        made = Made(tuple(stream.pending), stream.pending_version, finish_reason)
+        made = TokenEvent(tuple(stream.pending), stream.pending_version, finish_reason)
         stream.pending.clear()
         stream.events.put(made)
         if finish_reason is not None:
-            # It has its answer; its place is free.
+            # The answer is complete, so the run slot is freed.
             stream.is_cancelled = True
 
     def _draw_length(self) -> int:
-        """Draw a length: a few are many times as long as most."""
+        """Draw a length from a heavy-tailed distribution."""
         scale = self._random.paretovariate(LENGTH_SHAPE) / 2 ** (1 / LENGTH_SHAPE)
         return max(1, round(self.settings.median_length * scale))
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -156,7 +156,7 @@
             return server.Answer(events=self._events(stream))
         return self._whole(stream)
 
-    def _made(self, stream: batching.Stream) -> Iterator[batching.Made]:
+    def _made(self, stream: batching.Stream) -> Iterator[batching.TokenEvent]:
         """Yield what is made for a stream; closing this cancels it."""
         first = stream.n_made
         segments: list[list[int]] = []
@@ -179,7 +179,7 @@
             )
 
     def _event(
-        self, stream: batching.Stream, request_id: str, made: batching.Made
+        self, stream: batching.Stream, request_id: str, made: batching.TokenEvent
     ) -> dict[str, Any]:
         return {
             "id": request_id,
@@ -221,7 +221,7 @@
         made = list(self._made(stream))
         token_ids = tuple(i for part in made for i in part.token_ids)
         version = min(part.weight_version for part in made)
-        whole = batching.Made(token_ids, version, made[-1].finish_reason)
+        whole = batching.TokenEvent(token_ids, version, made[-1].finish_reason)
         return server.Answer(value=self._event(stream, stream.request_id, whole))
 
     # Control by the test or the demo.
--- a/tests/fakes/text_group.py
+++ b/tests/fakes/text_group.py
@@ -1,11 +1,12 @@
-"""A simulated group whose leaders run items and keep their unfinished texts.
-
-Each host that may answer as the leader has the product's open batches and texts. Events
-are made by the test: each one notes the event that it was made after, so that whether
-events are of one text is read off them alone. Leaders look late at their loss of the
-leadership; saves are refused, not known to have ended, doubled, or come late by any
-host. Whatever is kept, taken up or listed must be the beginning of one text, with
-exactly the weight versions of its events.
+"""A simulated group whose leaders run items and save their unfinished texts.
+
+Each host that may answer as the leader has the product's open batches and texts. The
+test generates the events. Each event records the event after which it was generated,
+so that the events alone show whether they belong to one text. The simulated faults are:
+leaders detect their loss of leadership late; saves are refused, committed without the
+leader's knowledge, duplicated, or proposed late by any host. Everything that is stored,
+resumed or listed must be the beginning of one text, with exactly the weight versions of
+its events.
 """
 
 from collections.abc import Iterable
@@ -23,46 +24,46 @@
 
 
 @attrs.frozen
-class Made:
-    """One event as it was made."""
+class EventOrigin:
+    """How one event was generated."""
 
     number: int
     version: int
-    # Data of the event that it was made after; None: it is a text's first.
+    # Data of the event after which it was generated; None: it is a text's first event.
     after: bytes | None
 
 
 @attrs.define
 class Runner:
-    """What runs at a host, begun as the leader of a term."""
+    """The batches that a host runs as the leader of a term."""
 
     term: int
     items: work.OpenBatches = attrs.field(factory=work.OpenBatches)
 
 
 @attrs.define
-class UnderWay:
-    """Saves that were proposed and wait for the end of their entry."""
+class PendingSaves:
+    """Saves that were proposed and wait for the outcome of their log entry."""
 
     term: int
     saves: list[texts.Save]
 
 
 class TextGroup(promise_group.PromiseGroup):
-    """Draws what leaders do, and checks all texts."""
+    """Chooses the leaders' actions at random, and checks all texts."""
 
     def __init__(self, n_hosts: int, seed: int, n_voters: int = 0) -> None:
-        self.made_by_data: dict[bytes, Made] = {}
+        self.origins_by_data: dict[bytes, EventOrigin] = {}
         self.runners_by_host: dict[str, Runner] = {}
-        # Nothing but saves is drawn.
+        # While set, leaders only save; no faults and no other actions.
         self.is_quiet = False
         self.n_saved = 0
-        self.n_taken_up = 0
+        self.n_resumed = 0
         self.n_caught_up = 0
         self._n_batches = 0
-        self._late: list[commands.SaveProgress] = []
+        self._late_saves: list[commands.SaveProgress] = []
         self._saves_by_ticket: dict[int, list[texts.Save]] = {}
-        self._under_way: dict[tuple[str, int], UnderWay] = {}
+        self._pending: dict[tuple[str, int], PendingSaves] = {}
         self._answers_by_host: dict[str, object] = {}
         super().__init__(n_hosts, seed, n_voters)
 
@@ -71,12 +72,12 @@
     def start(self, host: group_hosts.Host) -> None:
         super().start(host)
         self.runners_by_host.pop(host.name, None)
-        for key in [each for each in self._under_way if each[0] == host.name]:
-            del self._under_way[key]
+        for key in [each for each in self._pending if each[0] == host.name]:
+            del self._pending[key]
         host.applied.watch(lambda *applied: self._on_applied(host, *applied))
 
-    def _look(self, host: group_hosts.Host) -> None:
-        """Begin to run items, or stop."""
+    def _check_leadership(self, host: group_hosts.Host) -> None:
+        """Start or stop to run items, depending on the host's leadership."""
         runner = self.runners_by_host.get(host.name)
         if not self._may_answer(host):
             self.runners_by_host.pop(host.name, None)
@@ -93,36 +94,36 @@
             runner.items.remember(kept.decode(), kept)
             return
         for run in runner.items.open(kept, 0.0).runs_by_item_id.values():
-            self.n_taken_up += bool(run.text.parts)
+            self.n_resumed += bool(run.text.parts)
             self._check_text(run.text.parts, run.text.versions)
 
-    # What leaders do
+    # Actions of leaders
 
     def submit(self, client: object, host: group_hosts.Host, number: int = 0) -> None:
         for each in self.hosts_by_name.values():
             if each.runs() and self.random.random() < 0.3:
-                self._look(each)
+                self._check_leadership(each)
         for name in list(self.runners_by_host):
             each = self.hosts_by_name[name]
             if each.runs() and name in self.runners_by_host:
-                self._act(each, self.runners_by_host[name])
-        if self._late and not self.is_quiet and self.random.random() < 0.1:
-            late = self._late.pop(self.random.randrange(len(self._late)))
+                self._step_runner(each, self.runners_by_host[name])
+        if self._late_saves and not self.is_quiet and self.random.random() < 0.1:
+            late = self._late_saves.pop(self.random.randrange(len(self._late_saves)))
             self._propose(host, late, [])
 
-    def _act(self, host: group_hosts.Host, runner: Runner) -> None:
+    def _step_runner(self, host: group_hosts.Host, runner: Runner) -> None:
         opened = runner.items.open_batches()
         if not self.is_quiet:
             if len(opened) < MAX_OPEN and self.random.random() < 0.3:
                 self._n_batches += 1
                 self._propose(host, _accept(f"b{self._n_batches}"), [])
             for each in opened:
-                self._change(host, each)
+                self._change_items(host, each)
         for each in opened:
             if self.is_quiet or self.random.random() < 0.4:
                 self._save(host, each)
 
-    def _change(self, host: group_hosts.Host, opened: work.OpenBatch) -> None:
+    def _change_items(self, host: group_hosts.Host, opened: work.OpenBatch) -> None:
         for run in opened.waiting_runs():
             chance = self.random.random()
             if chance < 0.6 and len(run.text.parts) < MAX_EVENTS:
@@ -136,13 +137,13 @@
 
     def _generate(self, text: texts.Text) -> None:
         after = text.parts[-1] if text.parts else None
-        version = self.made_by_data[after].version if after else 1
+        version = self.origins_by_data[after].version if after else 1
         if self.random.random() < 0.2:
             version = self.random.randrange(1, 4)
         for _ in range(self.random.randrange(1, 4)):
             number = (text.last_number or 0) + 1
-            data = b"%d" % len(self.made_by_data)
-            self.made_by_data[data] = Made(number, version, after)
+            data = b"%d" % len(self.origins_by_data)
+            self.origins_by_data[data] = EventOrigin(number, version, after)
             text.add(event_stream.Event(number, data), version)
             after = data
 
@@ -163,20 +164,20 @@
         chance = 1.0 if self.is_quiet else self.random.random()
         if chance < 0.15:
             # The queue is full.
-            _end(saves)
+            _mark_lost(saves)
         elif chance < 0.3:
-            self._late.append(command)
-            _end(saves)
+            self._late_saves.append(command)
+            _mark_lost(saves)
         elif chance < 0.4:
-            # Not known in time, and committed perhaps.
+            # The leader does not learn the outcome in time; it may be committed.
             self._propose(host, command, [])
-            _end(saves)
+            _mark_lost(saves)
         else:
             self._propose(host, command, saves)
             if chance < 0.5:
                 self._propose(host, command, [])
 
-    # What becomes of it
+    # Commit and application of proposals
 
     def _propose(
         self, host: group_hosts.Host, command: object, saves: list[texts.Save]
@@ -191,36 +192,36 @@
         if isinstance(effect, events.Accepted):
             saves = self._saves_by_ticket.pop(effect.ticket, [])
             placed = (host.name, effect.first_index)
-            replaced = self._under_way.pop(placed, None)
+            replaced = self._pending.pop(placed, None)
             if replaced is not None:
-                _end(replaced.saves)
-            self._under_way[placed] = UnderWay(effect.term, saves)
+                _mark_lost(replaced.saves)
+            self._pending[placed] = PendingSaves(effect.term, saves)
         elif isinstance(effect, events.NotLeader):
-            _end(self._saves_by_ticket.pop(effect.ticket, []))
+            _mark_lost(self._saves_by_ticket.pop(effect.ticket, []))
         super()._carry_out(host, effect)
         if isinstance(effect, events.Restore):
-            self._skip(host)
+            self._end_skipped(host)
 
-    def _skip(self, host: group_hosts.Host) -> None:
-        """A snapshot has skipped entries that saves wait for."""
-        for key, each in list(self._under_way.items()):
+    def _end_skipped(self, host: group_hosts.Host) -> None:
+        """End the saves whose log entries were skipped by a snapshot."""
+        for key, each in list(self._pending.items()):
             if key[0] == host.name and key[1] <= host.applied.index:
-                del self._under_way[key]
-                _end(each.saves)
+                del self._pending[key]
+                _mark_lost(each.saves)
 
     def _commit(self, host: group_hosts.Host, entry: log.Entry) -> None:
         self._answers_by_host.pop(host.name, None)
         super()._commit(host, entry)
-        under_way = self._under_way.pop((host.name, entry.index), None)
-        if under_way is None:
+        pending = self._pending.pop((host.name, entry.index), None)
+        if pending is None:
             return
         answer = self._answers_by_host.get(host.name)
-        is_own = under_way.term == entry.term
+        is_own = pending.term == entry.term
         if is_own and isinstance(answer, commands.ProgressSaved):
-            for each in under_way.saves:
+            for each in pending.saves:
                 each.end(answer.saved_index(each.progress.item_id))
         else:
-            _end(under_way.saves)
+            _mark_lost(pending.saves)
 
     def _on_applied(
         self, host: group_hosts.Host, command: object, answer: object
@@ -254,44 +255,48 @@
     def _check_kept(self, kept: model.KeptBatch) -> None:
         for each in kept.progress_by_item_id.values():
             self._check_text(each.parts, each.versions)
-            last = self.made_by_data[each.parts[-1]]
-            assert each.last_number == last.number, "the last number is another's"
+            last = self.origins_by_data[each.parts[-1]]
+            assert each.last_number == last.number, (
+                "expected the number of the last event"
+            )
         for result in kept.results:
             self._check_text(result.text.split(b"\n"), result.versions)
 
     def _check_text(self, parts: Iterable[bytes], versions: Iterable[int]) -> None:
-        made = []
+        origins = []
         before = None
         for data in parts:
-            made.append(self.made_by_data[data])
-            assert made[-1].after == before, f"{data!r} after {before!r}"
+            origins.append(self.origins_by_data[data])
+            assert origins[-1].after == before, f"got {data!r} after {before!r}"
             before = data
-        assert set(versions) == {each.version for each in made}, "other versions"
+        assert set(versions) == {each.version for each in origins}, (
+            "expected the versions of the events"
+        )
 
     def settle(self) -> None:
-        """Let the trouble end: all texts go on once more, and are kept as they are.
+        """Stop the faults, extend all texts once more, and check that all are stored.
 
-        A late save may have replaced what was kept; the next save of the text finds
-        out, and the one after it mends it.
+        A late save may have replaced a stored text. The next save of that text fails
+        for this reason, and the one after it stores the complete text.
         """
         self.is_quiet = True
         self.run(5.0)
-        for _, opened in self._led():
+        for _, opened in self._led_batches():
             for run in opened.waiting_runs():
                 self._generate(run.text)
         self.run(2.0)
-        for host, opened in self._led():
+        for host, opened in self._led_batches():
             kept = _section(host).batches_by_id[opened.batch.batch_id]
             for run in opened.waiting_runs():
                 progress = kept.progress_by_item_id.get(run.item.item_id)
                 parts = list(progress.parts) if progress else []
                 assert parts == run.text.parts, (
-                    f"{len(parts)} of {len(run.text.parts)} events"
+                    f"expected {len(run.text.parts)} events, got {len(parts)}"
                 )
                 self.n_caught_up += 1
 
-    def _led(self) -> list[tuple[group_hosts.Host, work.OpenBatch]]:
-        """Return the open batches of the host that leads and knows it."""
+    def _led_batches(self) -> list[tuple[group_hosts.Host, work.OpenBatch]]:
+        """Return the open batches of each host that leads, with the host."""
         return [
             (host, opened)
             for host in self.hosts_by_name.values()
@@ -310,7 +315,7 @@
     return commands.section_of(host.applied.state)
 
 
-def _end(saves: list[texts.Save]) -> None:
+def _mark_lost(saves: list[texts.Save]) -> None:
     for each in saves:
         each.end(0)
 
--- a/tests/test_batches_any_fault.py
+++ b/tests/test_batches_any_fault.py
@@ -1,4 +1,4 @@
-"""Drawn troubles of engines: whatever they do, a whole text is the whole output."""
+"""Random faults of engines: a text reported as complete is the complete output."""
 
 import socket
 import struct
@@ -17,62 +17,63 @@
 from tests.fakes import scripted
 
 Outcome = item_run.Outcome
-# An item's whole output at any engine.
+# The complete output of the item, the same at every engine.
 N_EVENTS = 5
 OUTPUT = [b"part %d" % n for n in range(1, N_EVENTS + 1)]
 
 
 @attrs.frozen
-class Trouble:
-    """What one attempt meets."""
+class Fault:
+    """The fault that one attempt meets."""
 
     framing: str
-    # What is done to the events that are due.
+    # What is done to the events that the engine should send.
     damage: str
-    # The event that is damaged, counted among those that are due.
+    # Index of the damaged event among these.
     index: int
-    # Bytes that are sent of the answer, in 1,000ths of them; 1,000: all.
+    # Share of the answer's bytes that is sent, in thousandths.
     sent: int
     is_reset: bool
 
 
-def damaged(due, trouble):
-    """Return the events of `due` as a faulty engine sends them."""
+def damaged(due, fault):
+    """Return the events `due` as the faulty engine sends them."""
     events = list(due)
-    at = trouble.index % max(len(events), 1)
-    if trouble.damage == "repeats":
+    at = fault.index % max(len(events), 1)
+    if fault.damage == "repeats":
         events[at:at] = events[at : at + 1]
-    elif trouble.damage == "leaves out" and at < len(events) - 1:
+    elif fault.damage == "leaves out" and at < len(events) - 1:
         del events[at]
-    elif trouble.damage == "swaps":
+    elif fault.damage == "swaps":
         events[at : at + 2] = reversed(events[at : at + 2])
-    elif trouble.damage == "no number" and events:
+    elif fault.damage == "no number" and events:
         events[at] = events[at].replace(b"id: ", b"in: ")
     return events
 
 
 def due_after(number):
-    """Return the events that an engine sends that is asked to go on after `number`."""
+    """Return the events that an engine should send when resuming after `number`."""
     return [answers.event(n, OUTPUT[n - 1]) for n in range(number + 1, N_EVENTS + 1)]
 
 
-def bytes_of(trouble, asked_after):
-    """Return what an engine sends."""
-    if trouble.damage == "a bare head":
+def bytes_of(fault, asked_after):
+    """Return the bytes that the faulty engine sends."""
+    if fault.damage == "a bare head":
         return b"HTTP/1.1 200 OK\r\n\r\n"
-    due = due_after(0 if trouble.damage == "begins" else asked_after)
-    data = answers.with_framing(trouble.framing, *damaged(due, trouble))
-    n_sent = len(data) * trouble.sent // 1000
-    if trouble.framing == "close" and not trouble.is_reset:
+    due = due_after(0 if fault.damage == "begins" else asked_after)
+    data = answers.with_framing(fault.framing, *damaged(due, fault))
+    n_sent = len(data) * fault.sent // 1000
+    if fault.framing == "close" and not fault.is_reset:
         n_sent = not_between_events(data, n_sent)
     return data[:n_sent]
 
 
 def not_between_events(data, n_sent):
-    """Return an end that can be told: none in order, after an event that is not last.
+    """Return `n_sent`, moved back if the cut would look like a complete answer.
 
-    An answer without length or chunks that is closed there looks whole (see
-    `CarryOut.test_every_end`), also if nothing but line ends of the next one are there.
+    An answer without length or chunks whose connection is closed between two events
+    looks complete (see `CarryOut.test_every_end`), also if only line ends of the next
+    event were sent. No reader can detect such a cut.
     """
     head, _, body = data[:n_sent].partition(b"\r\n\r\n")
     is_between = body and not body.rpartition(b"\n\n")[2].strip()
@@ -80,13 +81,13 @@
 
 
 def reset(connection):
-    """Have the connection's closing reset it."""
+    """Make the connection send a reset when it is closed."""
     linger = struct.pack("ii", 1, 0)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
 
 
-TROUBLES = strategies.builds(
-    Trouble,
+FAULTS = strategies.builds(
+    Fault,
     strategies.sampled_from(answers.FRAMINGS),
     strategies.sampled_from(
         ("", "", "", "repeats", "leaves out", "swaps", "no number", "a bare head")
@@ -98,38 +99,39 @@
 )
 
 
-class AnyTrouble(unittest.TestCase):
-    """Whatever engines do, a text that is said to be whole is the whole output."""
+class AnyFault(unittest.TestCase):
+    """Whatever engines do, a text reported as complete is the complete output."""
 
     @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
     @hypothesis.given(
-        strategies.lists(TROUBLES, max_size=6), strategies.integers(0, N_EVENTS)
+        strategies.lists(FAULTS, max_size=6), strategies.integers(0, N_EVENTS)
     )
-    def test_text(self, troubles, n_read):
-        """An item meets several engines, and is resumed after any of its events.
+    def test_text(self, faults, n_read):
+        """Guard against a damaged text that is reported as complete.
 
-        Engines end at any byte, in order or by a reset, send a head alone, begin anew
-        though asked to go on, and repeat, leave out, swap and spoil events. After these
-        comes an engine without a fault, and then the text has to be whole.
+        An item runs at several faulty engines and is resumed after any of its events.
+        Engines end the answer at any byte, in order or by a reset, send only a head,
+        start at the beginning instead of resuming, and repeat, omit, swap and damage
+        events. The last engine has no fault, and the text must then be complete.
         """
         text = texts.Text(OUTPUT[:n_read], {3}, n_read) if n_read else texts.Text()
-        for trouble in troubles:
-            if self.attempt(text, trouble) is Outcome.COMPLETED:
+        for fault in faults:
+            if self.attempt(text, fault) is Outcome.COMPLETED:
                 break
             self.assertEqual(text.parts, OUTPUT[: len(text.parts)])
         else:
-            well = Trouble("chunks", "", 0, 1000, False)
-            outcome = self.attempt(text, well)
+            healthy = Fault("chunks", "", 0, 1000, False)
+            outcome = self.attempt(text, healthy)
             if outcome is Outcome.UNCONFIRMED:
-                outcome = self.attempt(text, well)
+                outcome = self.attempt(text, healthy)
             self.assertEqual(outcome, Outcome.COMPLETED)
         self.assertEqual(text.parts, OUTPUT)
 
-    def attempt(self, text, trouble):
+    def attempt(self, text, fault):
         def script(connection, received):
             asked_after = int(received.headers.get("last-event-id", 0))
-            connection.sendall(bytes_of(trouble, asked_after))
-            if trouble.is_reset and trouble.sent < 1000:
+            connection.sendall(bytes_of(fault, asked_after))
+            if fault.is_reset and fault.sent < 1000:
                 reset(connection)
             return False
 
--- a/tests/test_batches_ended.py
+++ b/tests/test_batches_ended.py
@@ -1,10 +1,10 @@
-"""Batches that end while their items run, and items that come again at once.
+"""Batches that end while their items run, and items that are resubmitted at once.
 
-A trainer reads a text in which events stand twice, by turns. It has ended a batch whose
-items still ran, and handed the unfinished ones in again under the same ids. Breaking
-off one attempt lets other tasks run: the runner's loop saw the items that had just been
-broken off wait in a batch that was still open, and sent them again. Nobody broke these
-attempts off any more, and the later batch went on from the very text that they wrote.
+These tests guard against a text in which events of two attempts alternate. A trainer
+ends a batch whose items still run and submits the unfinished ones again, under the same
+ids. Cancelling an attempt yields to other tasks. The runner's loop found the cancelled
+items waiting in a batch that was still open, and sent them again. Nothing cancelled
+these attempts, and the later batch resumed the very text to which they wrote.
 """
 
 import random
@@ -31,13 +31,14 @@
 from tests.fakes import node_protocol, scripted
 
 N_EVENTS = 12
-# Between two events: long enough for what breaks attempts off, short for the test.
+# Pause between two events, in seconds: long enough for attempts to be cancelled
+# between them, and short enough for a fast test.
 EVENT_SECONDS = 0.03
-WHOLE = b"\n".join(b"e%d" % n for n in range(1, N_EVENTS + 1))
+COMPLETE = b"\n".join(b"e%d" % n for n in range(1, N_EVENTS + 1))
 
 
 class SlowEngine:
-    """Makes the events of an item one by one, from where it is asked to go on."""
+    """Generates an item's events one by one, after the event to resume from."""
 
     def __init__(self) -> None:
         self.n_running = 0
@@ -46,7 +47,7 @@
         self.server = scripted.Scripted(self.answer, kind="engine")
 
     def finish(self, item_id):
-        """Send all events that are left of an item, and the end, without a pause."""
+        """Send all remaining events of an item, and the end, without a pause."""
         connection, number = self.connections_by_item_id.pop(item_id)
         for each in range(number + 1, N_EVENTS + 1):
             connection.sendall(chunk_of(each))
@@ -83,7 +84,7 @@
 
 
 class View:
-    """Stands for a store's copy of the registry and the policy."""
+    """Substitute for a store's copy of the registry and the policy."""
 
     def __init__(self, engine, n_slots):
         share = policy.Share("s", 1.0)
@@ -124,7 +125,7 @@
 
 
 class RunnerCase(unittest.TestCase):
-    """The runner on loopback; its loop is due at each turn."""
+    """The runner on loopback, with a scheduling pass due at every yield."""
 
     def engine_server(self):
         engine = SlowEngine()
@@ -152,7 +153,7 @@
         relay_ = relay.Relay(
             protocol, view, means, balancing.Balancer("z", rng), rng, crashes
         )
-        # It waits for news to gather, and may be at the end of that wait at any moment.
+        # In production, a pass begins after a pause, which may end at any moment.
         for name in ("_COALESCE_SECONDS", "_PAUSE_FACTOR"):
             gathering = mock.patch.object(runner, name, 0.0)
             gathering.start()
@@ -167,13 +168,13 @@
         self.before_pass()
         return True
 
-    def wait_for(self, is_so):
+    def wait_for(self, condition):
         with eventlet.Timeout(10.0):
-            while not is_so():
+            while not condition():
                 clock.sleep(0.005)
 
     def slow(self, upstream_id):
-        """Have an engine held for slow while the block runs."""
+        """Make an engine count as slow during the block."""
         return mock.patch.object(
             engines.Engines, "slow_ids", lambda known, now: frozenset({upstream_id})
         )
@@ -183,7 +184,7 @@
 
 
 class EndedBatches(RunnerCase):
-    """Nothing goes on in a batch that ends, and what it leaves is nobody else's."""
+    """No item of an ended batch runs on, and its texts are not shared."""
 
     @tools.params(1, 2, 6)
     def test_no_item_is_sent_while_its_batch_ends(self, n_items):
@@ -194,23 +195,24 @@
         self.wait_for(lambda: self.engine.n_running == 0)
 
     @tools.params(1, 2, 6)
-    def test_items_that_come_again_at_once(self, n_items):
+    def test_items_resubmitted_at_once(self, n_items):
         self.begin(n_items)
         self.runner.end("b1")
         self.runner.accept(batch("b2", n_items))
         self.wait_for(lambda: len(self.results_of("b2")) == n_items)
         for result in self.results_of("b2"):
-            self.assertEqual(result.text, WHOLE, result.item_id)
+            self.assertEqual(result.text, COMPLETE, result.item_id)
 
 
 class Moves(RunnerCase):
-    """Items are taken away from a slow engine while others there end by themselves."""
+    """Items move away from a slow engine while others there end by themselves."""
 
-    def test_item_that_has_just_ended(self):
-        """Two items are to go on elsewhere; the second one's last bytes are there.
+    def test_item_that_has_just_finished(self):
+        """Guard against a finished item that runs once more.
 
-        Breaking off the first one's attempt lets the second one's end. Sent all the
-        same, the second item runs once more from its beginning, for nobody.
+        Two items are to be moved, and the last bytes of the second one have arrived.
+        Cancelling the first one's attempt yields, and the second one's attempt ends. If
+        the second item were sent all the same, it would run again from its beginning.
         """
         self.begin(2)
         other = self.engine_server()
@@ -225,15 +227,16 @@
             self.runner.wake()
             self.wait_for(lambda: len(self.results) == 2)
         self.assertEqual([each.request_id for each in other.received], ["i0"])
-        self.assertEqual([each.text for each in self.results_of("b1")], [WHOLE] * 2)
+        self.assertEqual([each.text for each in self.results_of("b1")], [COMPLETE] * 2)
 
     @tools.params(1, 2, 6)
     def test_item_whose_batch_has_just_ended(self, n_items):
-        """A batch ends while the first of its items is taken away from a slow engine.
+        """Guard against an item that is sent after its batch has ended.
 
-        The item waits again, in a batch that nobody reads. Sent all the same, it takes
-        a place that others wait for; its request is kept back only once the connection
-        stands, and that counts as the healthy engine turning it away.
+        A batch ends while the first of its items is moved away from a slow engine. If
+        the item were sent all the same, it would take capacity for which others wait.
+        Its request would be held back only when the connection is established, which
+        counts as a rejection by the healthy engine.
         """
         self.begin(n_items)
         other = self.engine_server()
@@ -246,7 +249,7 @@
             ended.append("b1")
 
         def end_and_take_away(sender, key):
-            # Due as soon as breaking off lets other tasks run.
+            # Runs as soon as the cancellation yields.
             eventlet.spawn(end)
             take(sender, key)
 
@@ -268,18 +271,19 @@
         self.assertEqual(other.server.n_connections, 0)
 
 
-class Lines(RunnerCase):
-    """Each sending of an item has one line, however it ends.
+class LogLines(RunnerCase):
+    """Each attempt of an item writes one log line, with any outcome.
 
-    An operator who follows a text that is out of order over an item's lines missed the
-    attempts that were broken off: which engine made what for it was told by nothing.
+    This guards against attempts without a log line. Cancelled attempts had none, so an
+    operator who examined a text out of order could not see which engine had generated
+    which events.
     """
 
     def begin(self, n_items):
         self.lines = []
         eliot.add_destinations(self.lines.append)
         self.addCleanup(eliot.remove_destination, self.lines.append)
-        # The first destination is given what was written before.
+        # The first destination also receives the messages logged before.
         self.lines.clear()
         super().begin(n_items)
 
@@ -294,15 +298,15 @@
         ("batch-ended", lambda case: case.runner.end("b1")),
         ("stops-leading", lambda case: case.runner.stop()),
     )
-    def test_broken_off(self, why, break_off):
+    def test_cancelled_attempts(self, why, cancel):
         self.begin(3)
-        break_off(self)
+        cancel(self)
         self.wait_for(lambda: self.engine.n_running == 0)
         lines = self.attempts("broken-off")
         self.assertEqual(sorted(each["item_id"] for each in lines), ["i0", "i1", "i2"])
         for each in lines:
-            told = each["detail"], each["upstream_id"], each["asked_after"]
-            self.assertEqual(told, (why, "e1", None))
+            details = each["detail"], each["upstream_id"], each["asked_after"]
+            self.assertEqual(details, (why, "e1", None))
             self.assertEqual(each["first_number"], 1)
             self.assertGreater(each["last_number"], 1)
             self.assertEqual(each["last_number"], each["n_events"])
@@ -314,14 +318,14 @@
             self.runner.wake()
             self.wait_for(lambda: len(self.results) == 2)
         lines = self.attempts("broken-off")
-        told = sorted((each["item_id"], each["detail"]) for each in lines)
-        self.assertEqual(told, [("i0", "moved"), ("i1", "moved")])
+        details = sorted((each["item_id"], each["detail"]) for each in lines)
+        self.assertEqual(details, [("i0", "moved"), ("i1", "moved")])
         last_by_item_id = {each["item_id"]: each["last_number"] for each in lines}
         for each in self.attempts("completed"):
             self.assertEqual(each["upstream_id"], "e2")
             self.assertEqual(each["asked_after"], last_by_item_id[each["item_id"]])
 
-    def test_not_begun(self):
+    def test_not_started(self):
         self.begin(1)
         start = item_tasks.ItemTasks.start
 
@@ -338,27 +342,28 @@
 
 
 class Tasks(unittest.TestCase):
-    """Work that ends by itself while other work is broken off."""
+    """Work that ends by itself while other work is cancelled."""
 
     @tools.params("a batch", "all")
     def test_work_that_has_just_ended(self, name):
-        """A batch ends; while one attempt is broken off, another has its last bytes.
+        """Guard against a replica that stops when a batch ends.
 
-        The second one's entry is gone when its turn comes. That was a `KeyError` in
-        the task that applies the group's log, where any error stops the replica; the
-        other attempts of the batch were not broken off at all.
+        While one attempt of the batch is cancelled, another receives its last bytes and
+        ends. Its entry no longer exists when it is to be cancelled. That was a
+        `KeyError` in the task that applies the group's log, where any error stops the
+        replica, and the remaining attempts of the batch were not cancelled.
         """
         tasks = item_tasks.ItemTasks()
-        broken_off, ended = [], []
+        cancelled, ended = [], []
 
         def first():
             try:
                 clock.sleep(10.0)
             finally:
-                broken_off.append("i1")
+                cancelled.append("i1")
 
         def second():
-            while not broken_off:
+            while not cancelled:
                 clock.sleep(0)
             tasks.ended(("b", "i2"))
             ended.append("i2")
--- a/tests/test_batches_fairness.py
+++ b/tests/test_batches_fairness.py
@@ -1,6 +1,6 @@
-"""One account asks for many times what can be done; the others are served all the same.
+"""One account submits many times what can be served; the others must be served anyway.
 
-The replay starts items as places come free, with the scheduler's own choice.
+The replay starts items as run slots become free, with the scheduler's own assignment.
 """
 
 import unittest
@@ -10,15 +10,15 @@
 
 from bilberrydrum.batches import scheduling
 
-N_PLACES = 24
+N_SLOTS = 24
 ITEM_SECONDS = 0.5
-# Time within which an account wants its items, from their submission on.
+# Time from an item's submission to its deadline, in seconds.
 DUE_SECONDS = 4.0
 STEP_SECONDS = 0.1
 
 
 def waiting(account, number, submitted_at):
-    """Return an item that is all of its batch and group."""
+    """Return an item that is the only one of its batch and group."""
     key = (account, f"{number:06d}")
     done_by = submitted_at + DUE_SECONDS
     return scheduling.WaitingItem(
@@ -36,18 +36,18 @@
 
 
 class Replay:
-    """Ten seconds of items that come each tenth of a second."""
+    """A replay of items that are submitted every `STEP_SECONDS`."""
 
     def __init__(self, n_per_step_by_account, is_shared=True):
         self.n_per_step_by_account = n_per_step_by_account
-        # Off, as if all items were one account's.
+        # If false, all items are treated as one account's.
         self.is_shared = is_shared
         self.waiting = {}
         self.due_keys = set()
-        # When each item ends.
+        # End time and deadline of each running item, by key.
         self.running = {}
         self.n_submitted = dict.fromkeys(n_per_step_by_account, 0)
-        # Of those that are due within the replay.
+        # Numbers of items that are due within the replay, and of those in time.
         self.n_due = dict.fromkeys(n_per_step_by_account, 0)
         self.n_in_time = dict.fromkeys(n_per_step_by_account, 0)
 
@@ -81,12 +81,12 @@
                 self.n_in_time[key[0]] += is_in_time
 
     def start(self, now):
-        place = scheduling.EngineCapacity("e", "s", N_PLACES, len(self.running), {})
+        capacity = scheduling.EngineCapacity("e", "s", N_SLOTS, len(self.running), {})
         items = list(self.waiting.values())
         count = self.count_running if self.is_shared else lambda: {}
         if not self.is_shared:
             items = [self.without_account(each) for each in items]
-        for each in scheduling.assign(items, [place], now, count):
+        for each in scheduling.assign(items, [capacity], now, count):
             item = self.waiting.pop(each.key)
             self.running[each.key] = (now + ITEM_SECONDS, item.done_by)
 
@@ -101,14 +101,16 @@
         return counts
 
 
-class Crowding(unittest.TestCase):
-    """48 items a second can be done; the small account asks for 10 of them."""
+class Overload(unittest.TestCase):
+    """48 items a second can be served; the small account submits 10 a second."""
 
     def test_small_account_is_served(self):
-        """The large account asks for 1,000 a second and hardly any are in time.
+        """Guard against an account that is starved by the backlog of another one.
 
-        By time alone its old items go before all of the small account's, of which 0.3
-        and fewer are in time; by shares all that are due within the replay are.
+        The large account submits 1,000 items a second, of which hardly any are in time.
+        If only deadlines counted, its old items would go before all of the small
+        account's, and less than 0.3 of these would be in time. With shares, all of the
+        small account's items that are due within the replay are in time.
         """
         load = {"large": 100, "small": 1}
         by_time = Replay(load, is_shared=False).run()
@@ -117,10 +119,10 @@
         self.assertGreater(by_share["small"], 0.9)
 
     def test_nothing_is_left_unused(self):
-        """The large account gets all places that the small one does not need."""
+        """The large account gets all run slots that the small one does not need."""
         replay = Replay({"large": 100, "small": 1})
         replay.run()
-        self.assertEqual(len(replay.running), N_PLACES)
+        self.assertEqual(len(replay.running), N_SLOTS)
 
     @tools.params(True, False)
     def test_no_difference_where_all_can_be_served(self, is_shared):
@@ -128,6 +130,6 @@
         self.assertGreater(min(served.values()), 0.9)
 
     def test_equal_accounts_share(self):
-        """Three ask for more than their share each: none does better than another."""
+        """Three accounts submit more than their share: all are served alike."""
         served = Replay({"a": 4, "b": 4, "c": 4}).run()
         self.assertLess(max(served.values()) - min(served.values()), 0.1, served)
--- a/tests/test_batches_kept.py
+++ b/tests/test_batches_kept.py
@@ -1,4 +1,4 @@
-"""What is kept of a batch and its results, for as long as it must be."""
+"""The stored state of a batch and its results, and its retention."""
 
 import unittest
 
@@ -35,10 +35,10 @@
         self.assertEqual(self.results(), [("i0", b"x")])
 
     def test_item_that_ran_twice_is_listed_once(self):
-        """Two leaders in turn run the same item and both commit a result.
+        """Guard against two results of one item.
 
-        A reader may have read the first; the second must not stand at another place,
-        nor replace it.
+        Two leaders in turn run the same item and both commit a result. A reader may
+        have read the first one, so the second must neither be appended nor replace it.
         """
         self.apply(accept(batch()))
         self.apply(commands.FinishItems("b", (result(),)))
--- a/tests/test_batches_progress.py
+++ b/tests/test_batches_progress.py
@@ -1,4 +1,4 @@
-"""What is kept of unfinished texts, and what is taken up of it."""
+"""How unfinished texts are saved, and how a new leader resumes them."""
 
 import unittest
 
@@ -17,7 +17,7 @@
 
 
 class KeptProgress(unittest.TestCase):
-    """A new leader goes on with long texts where the last one had kept them."""
+    """A new leader resumes long texts from what the last leader has saved."""
 
     def setUp(self):
         self.state = machine.State()
@@ -36,7 +36,7 @@
         for n in range(4):
             text.add(event_stream.Event(n + 1, b"%d" % n), 1 + n // 3)
             if n % 2:
-                self.keep(text)
+                self.store(text)
         self.assertIsNone(text.begin_save("i0"))
         opened = work.OpenBatches().open(self.kept(), 0.0)
         again = opened.runs_by_item_id["i0"].text
@@ -53,20 +53,21 @@
         self.assertEqual(self.kept().progress_by_item_id["i0"], kept)
 
     @tools.params(
-        ("the kept one", 0, True),
+        ("the stored one", 0, True),
         ("an earlier one of as many events", -1, False),
-        ("a later one that is not kept", 1, False),
-        ("none: an earlier release does not say", None, False),
+        ("a later one that is not stored", 1, False),
+        ("none: an earlier release does not record it", None, False),
     )
     def test_part_follows_one_save(self, name, offset, is_joined):
-        """A part comes late, from a leader that was deposed, or twice.
+        """Guard against a part that is appended to another text.
 
-        Meanwhile the text may have been replaced by one of as many events.
+        A part arrives late, from a deposed leader, or twice. Meanwhile the stored text
+        may have been replaced by one with as many events.
         """
         first = model.Progress("i0", (b"a", b"b"), (1,), 2)
-        anew = model.Progress("i0", (b"x", b"y"), (2,), 2)
+        restarted = model.Progress("i0", (b"x", b"y"), (2,), 2)
         self.apply(commands.SaveProgress("b", (first,)))
-        self.apply(commands.SaveProgress("b", (anew,)))
+        self.apply(commands.SaveProgress("b", (restarted,)))
         follows = 0 if offset is None else self.index + offset
         part = model.Progress("i0", (b"z",), (2,), 3, 2, follows)
         answer = self.apply(commands.SaveProgress("b", (part,)))
@@ -74,12 +75,13 @@
         self.assertEqual(self.kept().progress_by_item_id["i0"].parts, parts, name)
         self.assertEqual(answer.saved_index("i0"), self.index if is_joined else 0, name)
 
-    def test_two_releases_that_say_nothing(self):
-        """A new leader goes on from a text that has events of two runs.
+    def test_two_releases_without_an_index(self):
+        """Guard against a stored text with events of two runs during an upgrade.
 
-        Stores are brought up to date one by one. What is kept comes from an earlier
-        release's snapshot and the part from its leader; neither names an entry, and
-        equal silence is no sign that one follows the other.
+        Stores are upgraded one by one. The stored text comes from a snapshot of an
+        earlier release, and the part from a leader of that release. Neither has the
+        index of a log entry, and two missing indexes do not show that the part follows
+        the text.
         """
         self.kept().progress_by_item_id["i0"] = model.KeptProgress(
             "i0", (b"a", b"b"), (1,), 2
@@ -98,9 +100,9 @@
         self.assertEqual(self.kept().progress_by_item_id["i0"].parts, (b"a", b"b"))
 
     def test_kept_by_an_earlier_release(self):
-        """Its snapshot does not say by which entry a text is kept.
+        """The snapshot of an earlier release lacks the index of a text's log entry.
 
-        The next leader goes on from the text, and hands it over as a whole at first.
+        The next leader resumes the text, and its first save contains the complete text.
         """
         fields = {
             "item_id": "i0",
@@ -111,119 +113,121 @@
         }
         old = codec.from_plain(fields, model.KeptProgress)
         self.kept().progress_by_item_id["i0"] = old
-        text = self.taken_up()
+        text = self.resumed_text()
         self.assertEqual(text.parts, [b"first 1"])
         for _ in range(2):
             generate(text, "first", 8, 1)
-            self.keep(text)
-        self.assertEqual(self.taken_up().parts, text.parts)
+            self.store(text)
+        self.assertEqual(self.resumed_text().parts, text.parts)
 
     @tools.params(
         ("lacks its beginning", [b"first 3", b"first 4"], 4),
         ("lacks its end", [b"first 1"], 2),
         ("has more than its number says", [b"first 1", b"first 2"], 1),
     )
-    def test_text_that_is_none_is_not_taken_up(self, name, parts, last_number):
-        """A listed text lacks its first events after stores were brought up to date.
+    def test_invalid_text_is_not_resumed(self, name, parts, last_number):
+        """Guard against a listed text that lacks its first events after an upgrade.
 
-        An earlier release kept texts that did not begin with event 1. Their parts are
-        fewer than the number of their last event says, and what is made after that
-        event follows well.
+        An earlier release stored texts that did not begin with event 1. They have fewer
+        parts than the number of their last event, and later events would be appended
+        without an error.
         """
         kept = model.KeptProgress("i0", tuple(parts), (1,), last_number, 1)
         self.kept().progress_by_item_id["i0"] = kept
-        text = self.taken_up()
+        text = self.resumed_text()
         self.assertEqual((text.parts, text.last_number), ([], None), name)
         generate(text, "second", 8, 2)
-        self.keep(text)
-        self.assertEqual(self.taken_up(), text)
+        self.store(text)
+        self.assertEqual(self.resumed_text(), text)
 
     def test_next_save_waits_for_the_end_of_the_last(self):
         text = texts.Text()
         generate(text, "only", 8, 1)
-        under_way = text.begin_save("i0")
+        pending = text.begin_save("i0")
         generate(text, "only", 8, 1)
         self.assertIsNone(text.begin_save("i0"))
-        under_way.end(7)
+        pending.end(7)
         following = text.begin_save("i0").progress
         self.assertEqual((following.n_before, following.follows), (8, 7))
 
-    def test_end_of_a_save_says_nothing_of_a_text_that_began_anew(self):
+    def test_end_of_a_save_is_ignored_after_a_restart(self):
         text = texts.Text()
         generate(text, "first", 8, 1)
-        under_way = text.begin_save("i0")
+        pending = text.begin_save("i0")
         text.clear()
         generate(text, "second", 8, 2)
-        under_way.end(7)
+        pending.end(7)
         following = text.begin_save("i0").progress
         self.assertEqual((following.n_before, following.follows), (0, 0))
 
-    def test_text_that_began_anew_replaces(self):
+    def test_restarted_text_replaces(self):
         first = model.Progress("i0", (b"a", b"b"), (1,), 2)
-        anew = model.Progress("i0", (b"x",), (2,), 1)
-        self.apply(commands.SaveProgress("b", (first, anew)))
+        restarted = model.Progress("i0", (b"x",), (2,), 1)
+        self.apply(commands.SaveProgress("b", (first, restarted)))
         kept = model.KeptProgress("i0", (b"x",), (2,), 1, self.index)
         self.assertEqual(self.kept().progress_by_item_id["i0"], kept)
 
-    def keep(self, text):
-        """Have what is new of `text` committed, and tell it so."""
+    def store(self, text):
+        """Commit a save of the new events of `text`, and end the save."""
         save = text.begin_save("i0")
         answer = self.apply(commands.SaveProgress("b", (save.progress,)))
         save.end(answer.saved_index("i0"))
 
-    def lose(self, text):
-        """Have what is new of `text` proposed and not committed."""
+    def lose_save(self, text):
+        """Begin a save of the new events of `text` that is not committed."""
         text.begin_save("i0").end(0)
 
-    def taken_up(self):
-        """Return the text that a new leader goes on from."""
+    def resumed_text(self):
+        """Return the text from which a new leader resumes the item."""
         return work.OpenBatches().open(self.kept(), 0.0).runs_by_item_id["i0"].text
 
     def test_parts_of_two_texts_are_not_joined(self):
-        """A result has the events of two runs, under the versions of the second alone.
+        """Guard against a result with events of two runs and versions of one.
 
-        Eight events are kept; the answer is damaged, and the text begins anew. The
-        first save of the new text finds the queue full; its second, of as many events
-        before as are kept, is committed. The next leader goes on from eight events of
-        each: joined by their number, parts need not be of one text.
+        Eight events are stored. Then the answer is damaged, and the text is restarted.
+        The first save of the restarted text is refused because the queue is full. The
+        second one, which follows as many events as are stored, is committed. If parts
+        were joined by their number, the next leader would resume a text with eight
+        events of each run.
         """
         text = texts.Text()
         generate(text, "first", 8, 1)
-        self.keep(text)
+        self.store(text)
         text.clear()
         generate(text, "second", 8, 2)
-        self.lose(text)
+        self.lose_save(text)
         generate(text, "second", 8, 2)
-        self.keep(text)
-        went_on = self.taken_up()
-        self.assertIn(went_on.parts, (text.parts, generated("first", 1, 8)))
-        self.assertEqual(went_on.versions, {2} if went_on.parts == text.parts else {1})
-
-    def test_lost_save_is_made_up_for(self):
-        """A new leader runs an item of 140 events again from its eighth.
-
-        The second save of a text finds the queue full. What was taken for it counts as
-        kept, so each later save lacks these events and is joined to nothing, for as
-        long as the item runs.
+        self.store(text)
+        resumed = self.resumed_text()
+        self.assertIn(resumed.parts, (text.parts, generated("first", 1, 8)))
+        self.assertEqual(resumed.versions, {2} if resumed.parts == text.parts else {1})
+
+    def test_lost_save_is_repeated(self):
+        """Guard against a text of which nothing is stored after one lost save.
+
+        The second save of a text is refused because the queue is full. If its events
+        counted as stored, each later save would lack them and be refused for as long
+        as the item runs. A new leader would run an item of 140 events again from its
+        eighth event.
         """
         text = texts.Text()
         generate(text, "only", 8, 1)
-        self.keep(text)
+        self.store(text)
         generate(text, "only", 8, 1)
-        self.lose(text)
+        self.lose_save(text)
         for _ in range(4):
             generate(text, "only", 8, 1)
-            self.keep(text)
-        self.assertEqual(self.taken_up().parts, text.parts)
+            self.store(text)
+        self.assertEqual(self.resumed_text().parts, text.parts)
 
-    def test_nothing_is_kept_of_what_has_ended(self):
+    def test_nothing_is_stored_after_the_result(self):
         progress = model.Progress("i0", (b"a",), (1,), 1)
         self.apply(commands.SaveProgress("b", (progress,)))
         self.apply(commands.FinishItems("b", (result(),)))
         self.apply(commands.SaveProgress("b", (progress,)))
         self.assertEqual(self.kept().progress_by_item_id, {})
 
-    def test_only_what_is_worth_it_is_taken(self):
+    def test_few_new_events_are_not_saved(self):
         opened = work.OpenBatches().open(model.KeptBatch.of(batch(), 0.0), 0.0)
         text = opened.runs_by_item_id["i0"].text
         for n in range(7):
--- a/tests/test_batches_reusable.py
+++ b/tests/test_batches_reusable.py
@@ -1,4 +1,4 @@
-"""What a batch takes over from earlier ones with the same items."""
+"""The texts that a batch reuses of earlier batches with the same items."""
 
 import unittest
 
@@ -13,8 +13,8 @@
 result = batches_support.result
 
 
-class Carried(unittest.TestCase):
-    """Groups that were not complete come again in a later batch."""
+class ReusedWork(unittest.TestCase):
+    """Incomplete groups are submitted again in a later batch."""
 
     def reopen(self, kept_results, min_version, is_complete=False):
         known = work.OpenBatches()
@@ -37,10 +37,11 @@
 
     @tools.params(("acme", True), ("beta", False), (None, False))
     def test_texts_belong_to_accounts(self, account, is_found):
-        """Another account hands in an item under an id that it has guessed.
+        """Guard against an account that reads another account's texts.
 
-        Given what was generated under that id before, it would read another account's
-        text, and wait for groups that are none of its own.
+        It submits an item under an id that it has guessed. If reuse ignored the
+        account, it would get the text that was generated under that id for the other
+        account, and its batch would wait for groups that are not its own.
         """
         known = work.OpenBatches()
         earlier = attrs.evolve(batch("b1", 3), account="acme")
@@ -53,8 +54,8 @@
         again = known.open(model.KeptBatch.of(later, 8.0), 8.0)
         found = [each.item_id for each in known.reusable_results(again, None)]
         self.assertEqual(found, ["i0"] if is_found else [])
-        went_on = again.runs_by_item_id["i1"].text.last_number == 1
-        self.assertEqual(went_on, is_found)
+        is_resumed = again.runs_by_item_id["i1"].text.last_number == 1
+        self.assertEqual(is_resumed, is_found)
 
     @tools.params(
         ("the same", {}, True),
@@ -64,10 +65,11 @@
         ("another hint", {"headers": {"Hint": "9"}}, True),
     )
     def test_texts_belong_to_the_same_work(self, name, fields, is_found):
-        """A trainer uses an item's id for another prompt.
+        """Guard against a text of another prompt.
 
-        Given what the id stood for before, the item's text would be another prompt's,
-        or begin with another's and go on with its own.
+        A trainer uses an item's id again for another prompt. If reuse went by the id
+        alone, the item's text would be that of the earlier prompt, or would begin with
+        events of the earlier prompt.
         """
         known = work.OpenBatches()
         earlier = batch("b1", 3)
@@ -82,11 +84,14 @@
         again = known.open(model.KeptBatch.of(later, 8.0), 8.0)
         found = [each.item_id for each in known.reusable_results(again, None)]
         self.assertEqual(found, ["i0"] if is_found else [], name)
-        went_on = again.runs_by_item_id["i1"].text.last_number == 1
-        self.assertEqual(went_on, is_found, name)
+        is_resumed = again.runs_by_item_id["i1"].text.last_number == 1
+        self.assertEqual(is_resumed, is_found, name)
 
     def test_finished_text_is_kept_once(self):
-        """Hundreds of items a minute finish in the memory of one process."""
+        """Guard against finished texts that stay in the runner's memory.
+
+        Hundreds of items finish per minute in one process.
+        """
         known = work.OpenBatches()
         opened = known.open(model.KeptBatch.of(batch("b1", 2), 0.0), 0.0)
         for item_id in ("i0", "i1"):
@@ -98,7 +103,7 @@
         again = known.open(model.KeptBatch.of(batch("b2", 2), 8.0), 8.0)
         self.assertIsNone(again.runs_by_item_id["i0"].text.last_number)
 
-    def test_unfinished_text_goes_on(self):
+    def test_unfinished_text_is_resumed(self):
         known = work.OpenBatches()
         opened = known.open(model.KeptBatch.of(batch("b1", 2), 0.0), 0.0)
         run = opened.runs_by_item_id["i0"]
@@ -110,13 +115,14 @@
 
     @tools.params(
         ("adds an event", lambda text: text.add(event_stream.Event(2, b"b"), 2)),
-        ("begins anew", texts.Text.clear),
+        ("is restarted", texts.Text.clear),
     )
     def test_text_is_not_shared(self, name, write):
-        """An item comes again while something of its ended batch still has its text.
+        """Guard against two attempts that write to one text.
 
-        With one text for both, the later batch's attempt, asked to go on after event
-        1, adds event 2 to a text that has it already, or to one that is empty.
+        An item is submitted again while an attempt of its ended batch still has its
+        text. If both batches shared the text, the later batch's attempt, resumed after
+        event 1, would add event 2 to a text that already has it or has been cleared.
         """
         known = work.OpenBatches()
         opened = known.open(model.KeptBatch.of(batch("b1", 2), 0.0), 0.0)
@@ -129,22 +135,25 @@
         self.assertEqual((text.parts, text.last_number), ([b"a"], 1), name)
 
     @tools.params(
-        ("it had begun", ("i0", "i1"), True, {("b2", "g0")}),
-        ("it had not begun", ("i0", "i1"), False, {("b2", "g0")}),
+        ("it had started", ("i0", "i1"), True, {("b2", "g0")}),
+        ("it had not started", ("i0", "i1"), False, {("b2", "g0")}),
         ("all were complete", ("i0", "i1", "i2", "i3"), False, {("b2", "g1")}),
     )
-    def test_carried_group_is_waited_for(self, name, finished, has_begun, expected):
-        """A trainer waits for one of two groups, and for each that comes again.
-
-        The second group comes again. Not known as such it goes behind all others, and
-        its trainer waits for it until its time is up.
+    def test_resubmitted_group_is_waited_for(
+        self, name, finished, has_started, expected
+    ):
+        """Guard against a resubmitted group that is treated as a surplus group.
+
+        A trainer waits for one of two groups, and for each resubmitted group. If the
+        resubmitted second group were not recognized, its items would go after all
+        others, and its trainer would wait until they are given up.
         """
         known = work.OpenBatches()
         kept = model.KeptBatch.of(batch("b1", 4), 0.0)
         opened = known.open(kept, 0.0)
         kept.results = [result(each) for each in finished]
         known.mark_finished("b1", finished)
-        if has_begun:
+        if has_started:
             opened.runs_by_item_id["i3"].text.add(event_stream.Event(1, b"a"), 2)
         known.remember_closed(known.close("b1"))
         later = batch("b2", 4, n_wanted_groups=1)
--- a/tests/test_batches_scheduling_pass.py
+++ b/tests/test_batches_scheduling_pass.py
@@ -1,4 +1,4 @@
-"""What one look of the runner costs where engines and items are many."""
+"""The cost of one scheduling pass of the runner with many engines and items."""
 
 import collections
 import sys
@@ -42,7 +42,7 @@
 
 
 class SchedulingPassCase(unittest.TestCase):
-    """A runner whose looks are called by hand; nothing is sent."""
+    """A runner whose scheduling passes are called by the test; nothing is sent."""
 
     def setUp(self):
         share = policy.Share("s", 1.0)
@@ -75,13 +75,13 @@
         self.runner.accept(model.KeptBatch.of(batch, 0.0))
 
     def change(self, *upstreams):
-        """Have the registry change to that of these upstreams."""
+        """Replace the registry by one with these upstreams."""
         self.view.registry = fleet_model.Registry(
             self.view.registry.index + 1, counted.CountedTuple(upstreams)
         )
 
     def run_pass(self):
-        """Look once; return the engines that items are sent to."""
+        """Run one scheduling pass; return the engines to which items are sent."""
         with mock.patch.object(self.runner._items, "send") as send:
             self.runner._run_pass()
         return [call.args[2] for call in send.call_args_list]
@@ -89,16 +89,17 @@
 
 class ManyItems(SchedulingPassCase):
     def test_versions_are_gathered_once(self):
-        """600 items of one version each wait before 3,000 engines.
+        """Guard against a pass that visits all engines for each waiting item.
 
-        For each item all engines were asked which versions they have: 0.2 s a look.
+        With 600 items that each need a single version, and 3,000 engines, the versions
+        of all engines were collected once per item, which took 0.2 s per pass.
         """
-        whole = engines.Engines.versions_of
+        original = engines.Engines.versions_of
         asked = []
 
         def versions_of(known, name):
             asked.append(name)
-            return whole(known, name)
+            return original(known, name)
 
         with mock.patch.object(engines.Engines, "versions_of", versions_of):
             self.assertEqual(len(self.run_pass()), N_ITEMS)
@@ -106,13 +107,14 @@
 
 
 class ManyEngines(SchedulingPassCase):
-    """Most looks find the registry as it was."""
+    """Most scheduling passes find the registry unchanged."""
 
     def test_registry_is_gone_through_once(self):
-        """A look before 3,000 engines at which nothing is to do takes 20 to 40 ms.
+        """Guard against a pass that iterates over an unchanged registry.
 
-        Looks come with each item and each load that ends, a hundred times a second; the
-        registry, which changes less often, was gone through at each.
+        A pass with nothing to do took 20 to 40 ms with 3,000 engines. Each item and
+        each load that ends causes a pass, a hundred times a second, and each pass
+        iterated over the registry, which changes less often.
         """
         self.run_pass()
         counted.CountedTuple.n_passes = 0
@@ -138,11 +140,12 @@
 
     @tools.params(("earlier", 1, 2), ("the same", 2, 2), ("later", 3, 3))
     def test_announced_version_stands(self, name, answered, expected):
-        """An engine that has announced version 2 answers under another one.
+        """Guard against an announced version that is lost to an older answer.
 
-        Within one incarnation versions only rise: an answer under version 1 had begun
-        before. Not looked at again while the registry stays as it is, what is announced
-        has to outlive the answer.
+        An engine that has announced version 2 answers under another version. Within one
+        incarnation versions only increase, so an answer under version 1 had begun
+        before. The registry is not read again while it is unchanged, so the announced
+        version has to be kept when the answer arrives.
         """
         self.change(upstream(0, version=2))
         self.run_pass()
@@ -163,7 +166,7 @@
 
 
 class LongPasses(SchedulingPassCase):
-    """Items and loads end all the time, and each end makes a look due."""
+    """Items and loads end all the time, and each end makes a pass due."""
 
     STEP_SECONDS = 0.005
     N_STEPS = 200
@@ -171,14 +174,15 @@
     @tools.params(
         ("few engines", 0.002, 66, 100, 0.2),
         ("3,000 engines", 0.06, 7, 9, 0.36),
-        ("stalled while it looked", 1.0, 3, 5, 1.0),
+        ("stalled during a pass", 1.0, 3, 5, 1.0),
     )
     def test_time_for_others(self, name, pass_seconds, least, most, share):
-        """Nearly nothing is served before 3,000 engines, by a process at full load.
+        """Guard against passes that leave no time for the other tasks.
 
-        A look was due 10 ms after the last, however long that had taken. With looks of
-        60 ms the process had a seventh of its time left to read the events of all
-        items, and to commit their results.
+        A pass was due 10 ms after the last one, however long that had taken. With 3,000
+        engines a pass takes 60 ms, so the process had a seventh of its time left to
+        read the events of all items and to commit their results. At full load it served
+        almost nothing.
         """
         passes = []
 
@@ -199,27 +203,28 @@
         self.assertLessEqual(sum(passes) / seconds, share, name)
 
     def work(self):
-        """Stand for the other tasks, one of which ends an item."""
+        """Simulate the other tasks, one of which ends an item."""
         self.runner.wake()
         for _ in range(4):
             eventlet.sleep(0)
 
 
 class CallsPerEngine(SchedulingPassCase):
-    """What a look costs for each engine, in calls of functions."""
+    """The cost of a pass per engine, in function calls."""
 
     def test_nothing_waits(self):
-        """A look before 3,000 engines at which nothing is to do takes 20 ms.
+        """Guard against many calls per engine in a pass with nothing to do.
 
-        Each engine was asked some fifteen questions, one of them the median of all
-        others' paces, and copied for the plan of loads.
+        Such a pass took 20 ms with 3,000 engines. It made some fifteen calls for each
+        engine, one of them for the median of all other engines' paces, and copied each
+        engine for the plan of loads.
         """
         for run in self.runner._work.open_batches()[0].runs_by_item_id.values():
             run.finish()
         self.assertLess(self.n_calls(400) - self.n_calls(200), 200 * 6)
 
     def n_calls(self, n_engines):
-        """Return how many calls a look before so many engines makes."""
+        """Return the number of calls that a pass with `n_engines` engines makes."""
         self.change(*(upstream(n) for n in range(n_engines)))
         self.run_pass()
         for number, engine in enumerate(self.runner._engines.by_id.values()):
--- a/tests/test_batches_service.py
+++ b/tests/test_batches_service.py
@@ -1,4 +1,4 @@
-"""What a leader hands over for commitment, and what its runner believes after it."""
+"""The commit of a runner's updates, and the runner's state after a failed commit."""
 
 import unittest
 from unittest import mock
@@ -28,19 +28,19 @@
 
 
 class Replica(lone_leader.LoneLeader):
-    """Refuses what the test says, and lacks its lease when the test says."""
+    """A replica whose proposals and lease the test controls."""
 
     def __init__(self, manual_clock):
         super().__init__(manual_clock)
         self.proposed = []
-        # Called with each command; its answer, if any, is that of `propose`.
+        # Called with each command. If it returns a result, `propose` returns this.
         self.intervene = lambda command: None
-        # So many looks at the leadership find no lease.
-        self.n_lapsed = 0
+        # Number of following checks of the leadership that find no lease.
+        self.n_missing_leases = 0
 
     def leadership(self):
-        if self.n_lapsed:
-            self.n_lapsed -= 1
+        if self.n_missing_leases:
+            self.n_missing_leases -= 1
             return None
         return super().leadership()
 
@@ -52,13 +52,13 @@
 
 @attrs.define
 class Runner:
-    """Takes the place of the runner: notes what it is told."""
+    """Substitute for the runner that records its calls."""
 
     hooks: object
     finished_by_batch: dict[str, list[str]] = attrs.field(factory=dict)
     open_ids: set[tuple[str, str]] = attrs.field(factory=set)
     is_stopped: bool = False
-    # Raised at each stop.
+    # Raised by each call of `stop`.
     fault: Exception | None = None
 
     def start(self, kept):
@@ -84,13 +84,15 @@
 
 
 class Leading(unittest.TestCase):
-    """A leader whose proposals are refused, and whose lease or term goes."""
+    """A leader whose proposals are refused, or that loses its lease or term."""
 
     def setUp(self):
         self.runners = []
-        made = mock.patch.object(service.runner, "BatchRunner", self.make_runner)
-        made.start()
-        self.addCleanup(made.stop)
+        runner_patch = mock.patch.object(
+            service.runner, "BatchRunner", self.make_runner
+        )
+        runner_patch.start()
+        self.addCleanup(runner_patch.stop)
         self.replica = Replica(helpers.ManualClock(1000.0))
         self.carrier = mock.Mock(process_id="me")
         given = dict.fromkeys(("view", "protocol", "means", "relay_", "crashes"))
@@ -124,17 +126,17 @@
         section = commands.section_of(self.replica.state())
         return section.batches_by_id[batch_id]
 
-    def test_dropped_result_is_made_again(self):
-        """A trainer waits for an item that is never listed, though its leader is well.
+    def test_dropped_result_is_generated_again(self):
+        """Guard against an item that is never listed although the leader is healthy.
 
-        A result is not committed in time, and at that moment the lease has lapsed, for
-        less time than the service takes to look. The result is dropped, but the runner,
-        which counts the item as finished, goes on in the same term: no other leader
-        comes to run it again.
+        A result is not committed in time, and at that moment the lease has expired, for
+        less time than the interval of the leadership check. The result is dropped. If
+        the same runner continued, it would treat the item as finished, and no other
+        leader would run the item again.
         """
 
         def refuse(command):
-            self.replica.n_lapsed = 1
+            self.replica.n_missing_leases = 1
             return REFUSED
 
         self.replica.intervene = refuse
@@ -144,24 +146,24 @@
         self.assertIn(("b", "i0"), self.runners[1].open_ids)
 
     def test_stop_that_fails(self):
-        """No item runs for the rest of the day, though the stores have a leader.
+        """Guard against a leader that runs no items any more.
 
-        The lease lapses for a moment. Breaking off the runner's attempts fails, here as
-        it did with `KeyError`; the runner, whose loop has ended, stays in its place,
-        and is asked to stop once more at each look: ten tracebacks a second.
+        The lease expires for a moment, and cancelling the runner's attempts fails with
+        `KeyError`. The runner, whose loop had ended, was kept and stopped again at each
+        check of the leadership, with ten tracebacks a second.
         """
         self.runners[0].fault = KeyError("an attempt that has just ended")
-        self.replica.n_lapsed = 1
+        self.replica.n_missing_leases = 1
         self.wait_for(lambda: len(self.runners) == 2)
         self.assertEqual(len(self.runners[1].open_ids), 4)
 
     def test_nothing_of_an_earlier_term_is_committed(self):
-        """A result has the text of one run and the score of another run's.
+        """Guard against a result with the text of one run and the score of another.
 
-        Results of two batches wait. While the first is proposed the leader is deposed
-        and elected again; the second, a text of the earlier term, is committed in the
-        later one, over a text that the leader in between has kept and that is being
-        scored.
+        Updates of two batches are queued. During the first one's proposal, the leader
+        is deposed and elected again. If the second one, a text of the earlier term,
+        were committed in the later term, it would replace a text that the leader in
+        between has stored and that is being scored.
         """
 
         def depose(command):
@@ -181,19 +183,19 @@
         self.assertEqual(self.kept("c").unscored_by_item_id, {})
 
     def test_nothing_of_an_earlier_runner_is_committed(self):
-        """A result has the text of one run and the score of another run's.
+        """Guard against a result with the text of one run and the score of another.
 
-        A whole text and its score wait to be committed while the log is slow. The lease
-        lapses and comes back in the same term, and the runner that begins then makes
-        the text again. All three are taken from the queue together; one command has
-        texts before scores, so the second text got the score of the first.
+        A complete text and its score are queued while the log is slow. The lease
+        expires and is regained in the same term, and the new runner generates the text
+        again. All three updates were merged into one command, which applies texts
+        before scores, so the second text got the score of the first.
         """
 
         def begin_another(command):
             self.replica.intervene = lambda command: None
             self.runners[0].hooks.keep_text("c", text_of("i0", b"first"))
             self.runners[0].hooks.score("c", "i0", "of the first")
-            self.replica.n_lapsed = 1
+            self.replica.n_missing_leases = 1
             self.wait_for(lambda: len(self.runners) == 2)
             self.runners[1].hooks.keep_text("c", text_of("i0", b"second"))
 
@@ -207,11 +209,11 @@
         self.assertEqual(listed, [(b"second", "of the second")])
 
     def test_commit_that_fails(self):
-        """No result of any batch is listed any more, though the leader is well.
+        """Guard against a healthy leader that lists no results any more.
 
-        An unexpected error comes up while one result is committed. It ended the task
-        that commits all of them. The runner went on, held its items for finished, and
-        what it handed over was committed by nobody until another process led.
+        An unexpected error during the commit of one result ended the task that commits
+        all of them. The runner continued and treated its items as finished, and its
+        updates were not committed until another process became the leader.
         """
 
         def fail(command):
@@ -227,10 +229,11 @@
         self.assertEqual([each.item_id for each in self.kept().results], ["i0"])
 
     def test_commit_that_fails_each_time(self):
-        """Engines are broken off all the time, and the log fills.
+        """Guard against runners that are replaced without a pause.
 
-        A new runner hands over at its start what was carried over from an earlier
-        batch, and committing that fails again, so the next one begins at once.
+        A new runner queues at its start the results reused of an earlier batch. If
+        their commit fails again, the next runner starts at once. The engines' runs are
+        then cancelled all the time, and the log fills.
         """
 
         def fail(command):
@@ -246,12 +249,12 @@
             self.assertEqual(len(self.runners), 2)
 
     def test_commit_that_is_refused_at_once(self):
-        """Nothing is answered by the stores' leader, and no other takes its place.
+        """Guard against retries that block all other tasks of the leader.
 
-        The group has as many proposals as it takes, and refuses more without a wait. A
-        task that commits results tried again at once, as long as its process led, and
-        let no other task run: none that answers, nor the one that learns that the
-        lease is out.
+        A group with a full queue refuses proposals immediately. The task that commits
+        results retried without a pause for as long as its process led. No other task
+        could run, neither those that answer gateways nor the one that detects the
+        expiry of the lease, so no other replica could become the leader.
         """
         refusal = result.Err(client.StateError(reasons.Reason.STATE_UNAVAILABLE, False))
         n_refused = []
@@ -269,11 +272,12 @@
         self.assertLess(len(n_refused), 10)
 
     @tools.params(("kept", 2), ("refused", 0), ("raises", 0))
-    def test_each_save_is_told_its_end(self, name, n_before):
-        """A long item is made from its beginning again when the stores' leader goes.
+    def test_each_save_is_ended(self, name, n_before):
+        """Guard against a text that is no longer saved after one save.
 
-        The text waits for the end of its last save before it hands over more. A save
-        that ends in any way untold, an error of the log included, was its last.
+        A text begins no save before its last one has ended. If a save were not ended,
+        for example after an error of the log, no later events would be stored, and a
+        new leader would generate a long item again from its beginning.
         """
 
         def intervene(command):
@@ -296,10 +300,11 @@
 
     @tools.params(("not in the log", False), ("skipped by a snapshot", True))
     def test_submission_that_is_not_committed_here(self, name, may_have_applied):
-        """A batch is refused with the promise that it never runs, and runs.
+        """Guard against a batch that runs although its submission was refused.
 
-        It is in the log, but this replica doesn't see its commit. The gateway was told
-        that this replica can't take it, as if it were not in the log.
+        The batch is in the log, but this replica does not see its commit. It answered
+        that it cannot accept the batch, as if the batch were not in the log, and the
+        gateway refused the batch with the promise that it never runs.
         """
         self.replica.intervene = lambda command: result.Err(
             client.StateError(reasons.Reason.STATE_UNAVAILABLE, may_have_applied)
@@ -313,11 +318,11 @@
         self.assertEqual(answer.may_have_applied, may_have_applied, name)
 
     def test_score_without_its_text_finishes_nothing(self):
-        """A trainer waits for an item that is never listed.
+        """Guard against an item that is never listed.
 
-        Its whole text was dropped while the lease had lapsed; its score, which came a
-        moment later, is committed. Nothing is listed, but the runner is told that the
-        item is finished, and generates it no more.
+        The item's complete text was dropped while the lease had expired, and its score,
+        which came a moment later, is committed. No result is listed. If the runner
+        marked the item as finished, it would never run the item again.
         """
         n_before = len(self.replica.proposed)
         self.runners[0].hooks.score("b", "i0", "mark")
--- a/tests/test_batches_stop.py
+++ b/tests/test_batches_stop.py
@@ -1,4 +1,4 @@
-"""A store that stops while its runner, which leads no more, is being stopped."""
+"""A store that is stopped while it stops its runner after a loss of leadership."""
 
 import eventlet
 
@@ -7,14 +7,14 @@
 
 
 class Stop(ended_batches.RunnerCase):
-    def test_stop_that_was_itself_broken_off(self):
-        """A store that is told to stop ends with a traceback, and its items run on.
+    def test_stop_after_a_cancelled_stop(self):
+        """Guard against a store that stops with a traceback while its items run on.
 
-        It has lost the leadership, and its task breaks off the runner's attempts; each
-        of these steps lets other tasks run. The process is told to stop, which breaks
-        off that very task and then stops the runner once more: that failed with
-        `ValueError` at the watcher which was gone already, so that neither the other
-        attempts nor the replica were stopped.
+        The store has lost the leadership, and a task cancels the runner's attempts.
+        Each cancellation yields to other tasks. Then the process stops, which kills
+        that task and stops the runner again. The second stop failed with `ValueError`
+        on removing the watcher twice, so that neither the other attempts nor the
+        replica stopped.
         """
         self.begin(4)
         watchers = [self.runner.wake]
--- a/tests/test_batches_urgency.py
+++ b/tests/test_batches_urgency.py
@@ -1,4 +1,4 @@
-"""In which order items start, and what that does to a batch's last item."""
+"""The order in which items start, and its effect on the end of a batch."""
 
 import heapq
 import unittest
@@ -8,15 +8,15 @@
 from bilberrydrum.batches import scheduling, urgency
 
 
-def seconds_of(batch_seconds, n_places, key):
-    """Replay one batch: start items in the order of `key` as places come free.
+def seconds_of(batch_seconds, n_slots, key):
+    """Replay one batch: start items in the order of `key` as run slots become free.
 
     Returns
     -------
     float
-        Time until the last item is done.
+        Time until the last item ends, in seconds.
     """
-    free_at = [0.0] * n_places
+    free_at = [0.0] * n_slots
     last = 0.0
     for seconds in sorted(batch_seconds, key=key):
         began = heapq.heappop(free_at)
@@ -26,21 +26,21 @@
 
 
 def batch_seconds(n_items=144, long_every=10, long_seconds=4.8, short_seconds=0.6):
-    """Return the times of a batch's items; a tenth is eight times as long."""
+    """Return the durations of a batch's items; a tenth are eight times as long."""
     return [
         long_seconds if n % long_every == 0 else short_seconds for n in range(n_items)
     ]
 
 
 class Replayed(unittest.TestCase):
-    """A trainer's batch fills the engines of its model."""
+    """The items of one trainer's batch fill the engines of its model."""
 
     def test_last_item(self):
-        """144 items meet 37 places; a tenth takes 4.8 s, the others 0.6 s.
+        """144 items share 37 run slots; a tenth take 4.8 s, the others 0.6 s.
 
-        Shortest first, the long ones start last and the batch needs 6.9 s; longest
-        first, the short ones fill the gaps and it needs no more than a long one and a
-        few short ones.
+        Shortest first, the long ones start last and the batch takes 6.9 s. Longest
+        first, the short ones fill the gaps, and the batch takes no more time than a
+        long one and a few short ones.
         """
         items = batch_seconds()
         shortest_first = seconds_of(items, 37, lambda each: each)
@@ -62,17 +62,17 @@
                     key, group, 7.5 - left, 7.5, False, "m", 1, frozenset({"s"})
                 )
             )
-        places = [
+        capacities = [
             scheduling.EngineCapacity(f"e{n}", "s", 6, 0, {"m": 1}) for n in range(3)
         ]
-        started = [each.key[1] for each in scheduling.assign(items, places, 0.0)]
+        started = [each.key[1] for each in scheduling.assign(items, capacities, 0.0)]
         self.assertEqual(len(started), 18)
         n_long = sum(1 for each in started if int(each) % 10 == 0)
         self.assertEqual(n_long, 15)
 
 
 class Tiers(unittest.TestCase):
-    """What goes first, whatever its time."""
+    """Which groups go first, whatever their times."""
 
     @tools.params(
         ("in time", [("g", 5.0, False)], urgency.Tier.IN_TIME),
@@ -86,10 +86,11 @@
         self.assertEqual(tiers, {"g": expected}, name)
 
     def test_overload(self):
-        """Two batches' groups need twice the time there is.
+        """Guard against an overload in which every group ends late.
 
-        In the order of their due times alone, each group would end late. Those that
-        can't make it any more go behind, so the others are in time.
+        The groups of two batches need twice the available time. If only their due times
+        counted, each group would end late. Groups that can no longer be in time go
+        last, so that the others are in time.
         """
         candidates = [
             urgency.Candidate("old", -0.5, False),
@@ -100,16 +101,16 @@
 
 
 class Successors(unittest.TestCase):
-    """A step is late after a loss of power, and the trainer's next one is there.
+    """A step is late after a power failure, and the trainer's next one is submitted.
 
-    The trainer asks for the step after that only once it is done with the late one.
-    Put behind its successor, the late step held the trainer up for five seconds more,
-    and the day's last step was never asked for.
+    The trainer submits the step after the next only when it has finished the late one.
+    When the late step went after its successor, it delayed the trainer by another five
+    seconds, and the last step of the played day was never submitted.
     """
 
     @tools.params(
         (
-            "the late step is not put behind",
+            "the late step does not go last",
             [("old", -0.5, 7.5), ("new", 0.5, 11.5)],
             ["old", "new"],
         ),
@@ -129,8 +130,8 @@
         first = [key for key, tier in tiers.items() if tier is urgency.Tier.IN_TIME]
         self.assertEqual(first, in_time, name)
 
-    def test_other_trainers_are_not_held_up(self):
-        """A late step goes before its own successor only by its own trainer's steps."""
+    def test_other_trainers_are_not_delayed(self):
+        """Only the same trainer's next step keeps a late step from going last."""
         candidates = [
             urgency.Candidate("late", -0.5, False, "m", 7.5),
             urgency.Candidate("other", 0.5, False, "n", 11.5),
@@ -140,7 +141,7 @@
 
 
 class Spare(unittest.TestCase):
-    """Groups that a trainer does not wait for."""
+    """Surplus groups, which a trainer does not wait for."""
 
     LONGEST = {("b", "x"): 5, ("b", "y"): 90, ("b", "z"): 40}
 
@@ -149,8 +150,8 @@
         ("more than there are", set(), 9, set()),
         ("two", set(), 2, {("b", "y")}),
         ("one", set(), 1, {("b", "y"), ("b", "z")}),
-        ("a long one came back", {("b", "y")}, 2, {("b", "z")}),
-        ("more came back", {("b", "y"), ("b", "z")}, 1, {("b", "x")}),
+        ("a long one was resubmitted", {("b", "y")}, 2, {("b", "z")}),
+        ("more were resubmitted", {("b", "y"), ("b", "z")}, 1, {("b", "x")}),
     )
     def test_groups(self, name, resubmitted, n_wanted, expected):
         spare = urgency.spare_groups(self.LONGEST, frozenset(resubmitted), n_wanted)
@@ -158,7 +159,7 @@
 
 
 class Paces(unittest.TestCase):
-    """How long an item is expected to take."""
+    """The expected duration of an item."""
 
     def test_before_any_was_seen(self):
         seconds = urgency.Pace().remaining_seconds(20, 0)
@@ -176,7 +177,7 @@
         self.assertAlmostEqual(seconds, expected, msg=name)
 
     @tools.params((0, 5), (5, 0))
-    def test_says_nothing(self, n_tokens, n_events):
+    def test_unusable_measurement(self, n_tokens, n_events):
         pace = urgency.Pace()
         pace.record(n_tokens, n_events, 100.0)
         self.assertAlmostEqual(
--- a/tests/test_text_schedules.py
+++ b/tests/test_text_schedules.py
@@ -1,7 +1,7 @@
-"""Randomised schedules over unfinished texts, and what each leader takes up of them.
+"""Randomised schedules of a group whose leaders save and resume unfinished texts.
 
-The troubles are in `tests.fakes.group_troubles`; what leaders do, and the checks, are
-in `tests.fakes.text_group`. BILBERRYDRUM_SCHEDULES sets how many schedules are run.
+The faults are in `tests.fakes.group_troubles`; the leaders' actions and the checks are
+in `tests.fakes.text_group`. BILBERRYDRUM_SCHEDULES sets the number of schedules.
 """
 
 import os
@@ -21,7 +21,7 @@
 
 
 def run_schedule(seed):
-    """Run one schedule; return the group, whose checks have passed."""
+    """Run one schedule with its checks; return the group."""
     rng = random.Random(seed)
     group = text_group.TextGroup(3, seed, n_voters=3)
     group.add_host("h3")
@@ -33,12 +33,12 @@
 
 class Schedules(unittest.TestCase):
     def test_texts(self):
-        """An item's text has events of two runs, neither begun where the other ended.
+        """Guard against a text with events of two runs that do not continue each other.
 
-        Leaders change and look late, saves are refused, late and doubled, texts begin
-        anew, batches end and their items come again. What is kept, taken up or listed
-        must be the beginning of one text under the versions of its events, and what
-        was lost must be kept in the end.
+        Leaders change and detect it late; saves are refused, delayed and duplicated;
+        texts are restarted; batches end and their items are submitted again. Everything
+        stored, resumed or listed must be the beginning of one text with the versions of
+        its events. Texts whose saves were lost must be stored in the end.
         """
         groups = []
 
@@ -47,17 +47,17 @@
         def schedule(seed):
             with schedules_support.played_by(__name__, seed):
                 group = run_schedule(seed)
-            groups.append((group.n_saved, group.n_taken_up, group.n_caught_up))
+            groups.append((group.n_saved, group.n_resumed, group.n_caught_up))
 
         schedule()
         n_saved = sum(each[0] for each in groups)
-        n_taken_up = sum(each[1] for each in groups)
+        n_resumed = sum(each[1] for each in groups)
         print(
-            f"{len(groups)} schedules, {n_saved} saves, {n_taken_up} texts taken up",
+            f"{len(groups)} schedules, {n_saved} saves, {n_resumed} texts resumed",
             file=sys.stderr,
         )
         self.assertGreater(n_saved, len(groups))
-        self.assertGreater(n_taken_up, len(groups))
+        self.assertGreater(n_resumed, len(groups))
         self.assertGreater(sum(each[2] for each in groups), len(groups))
 
 
