--- a/bilberrydrum/batches/runner.py
+++ b/bilberrydrum/batches/runner.py
@@ -116,9 +116,9 @@
     def stop(self) -> None:
         """Cancel all runs; may be called again, since a call may be cancelled."""
         if self._is_watching:
-            # Cleared before any call that yields to other tasks. One of them may cancel
-            # this stop and call `stop` again. The second call would fail on removing
-            # the watcher twice and leave the runs active.
+            # This comes before any call that yields to other tasks. One of them may
+            # cancel this stop and call `stop` again. The second call would fail on
+            # removing the watcher twice and leave the runs active.
             self._is_watching = False
             self._view.unwatch(self.wake)
         if self._task is not None:
@@ -220,9 +220,9 @@
             return
         self._progress_at = now
         for opened in self._work.open_batches():
-            progress = opened.begin_saves(_PROGRESS_EVENTS)
-            if progress:
-                self._hooks.save(opened.batch.batch_id, tuple(progress))
+            saves = opened.begin_saves(_PROGRESS_EVENTS)
+            if saves:
+                self._hooks.save(opened.batch.batch_id, tuple(saves))
 
     def _give_up_late(self, now: float) -> None:
         for opened in self._work.open_batches():
@@ -297,8 +297,8 @@
         route = self._route_of(opened)
         standing = self._items.standing(opened, run)
         if route is None or standing is quarantine.Standing.QUARANTINED:
-            # The item waits until it is given up, so that its caller gets no wrong
-            # result meanwhile.
+            # The item waits until it is given up, because no result could be reported
+            # to its caller that would be true now.
             return None
         served: set[int] = set()
         if route.is_single_version:
--- a/bilberrydrum/batches/scheduling.py
+++ b/bilberrydrum/batches/scheduling.py
@@ -116,7 +116,7 @@
     def is_full_for(self, item: WaitingItem) -> bool:
         """Return whether items of this kind must wait until an item here has ended."""
         # Only one suspected item runs at an engine at a time. If several ran together,
-        # a crash could not be attributed to one of them.
+        # a crash caused by one of them would count against all of them.
         return self.n_running >= self.n_slots or (
             item.is_suspected and self.has_suspected
         )
--- a/bilberrydrum/batches/service.py
+++ b/bilberrydrum/batches/service.py
@@ -229,16 +229,16 @@
 
     def _commit_next(self) -> None:
         """Wait for an update, and commit all that are queued, up to the maximum."""
-        advanced = [self._updates.get()]
-        while not self._updates.empty() and len(advanced) < _MAX_RESULTS:
-            advanced.append(self._updates.get())
+        updates = [self._updates.get()]
+        while not self._updates.empty() and len(updates) < _MAX_RESULTS:
+            updates.append(self._updates.get())
         # The term may change during a proposal. An update of the earlier term could
         # then replace a text that another leader has stored, and get that text's score.
         # The runner may also change within a term, and then generates the queued texts
         # again. If both runners' updates were committed as one command, the new
         # runner's text would get the score of the earlier text.
         term, number = self._term, self._n_runners
-        given = [each.command for each in advanced if each.runner_number == number]
+        given = [each.command for each in updates if each.runner_number == number]
         for command in commands.merge_by_batch(given):
             self._commit(command, term)
 
--- a/bilberrydrum/batches/work.py
+++ b/bilberrydrum/batches/work.py
@@ -25,7 +25,7 @@
 
 @attrs.define(eq=False)
 class OpenBatch:
-    """One batch that has not ended."""
+    """A batch from its submission until it is closed at its end."""
 
     kept: model.KeptBatch
     batch: model.Batch
