--- a/bilberrydrum/batches/engine_heap.py
+++ b/bilberrydrum/batches/engine_heap.py
@@ -33,7 +33,7 @@
 
     def __init__(
         self,
-        engines: Sequence["scheduling.Place"],
+        engines: Sequence["scheduling.EngineCapacity"],
         numbers: Iterable[int],
         item: "scheduling.WaitingItem",
         has_group: bool,
@@ -63,7 +63,7 @@
             entry = self._entries[0]
             engine = self._engines[entry[1]]
             corrected = self._entry(entry[1])
-            if engine.is_closed_to(item):
+            if engine.is_full_for(item):
                 heapq.heappop(self._entries)
             elif corrected != entry:
                 heapq.heapreplace(self._entries, corrected)
@@ -94,7 +94,7 @@
     def __init__(
         self,
         items: Iterable["scheduling.WaitingItem"],
-        engines: Iterable["scheduling.Place"],
+        engines: Iterable["scheduling.EngineCapacity"],
     ) -> None:
         """Initialise the chooser.
 
@@ -102,7 +102,7 @@
         ----------
         items : iterable of scheduling.WaitingItem
             All items that `choose` will be called with.
-        engines : iterable of scheduling.Place
+        engines : iterable of scheduling.EngineCapacity
             Must not be changed by anyone else while the chooser is in use.
         """
         self._engines = [each for each in engines if each.n_running < each.n_slots]
@@ -117,7 +117,9 @@
             collections.defaultdict(dict)
         )
 
-    def choose(self, item: "scheduling.WaitingItem") -> "scheduling.Place | None":
+    def choose(
+        self, item: "scheduling.WaitingItem"
+    ) -> "scheduling.EngineCapacity | None":
         """Assign `item` to the best engine and return it; None if none can take it."""
         best = self._heap(item).best(item)
         if best is None:
@@ -128,7 +130,7 @@
         number = best[1]
         engine = self._engines[number]
         is_new = item.group_key not in engine.group_keys
-        engine.take(item)
+        engine.reserve(item)
         if is_new:
             self._add_to_group(number, item.group_key)
         return engine
--- a/bilberrydrum/batches/engines.py
+++ b/bilberrydrum/batches/engines.py
@@ -113,14 +113,14 @@
     def add_run(self, run: lifecycle.ItemRun) -> None:
         """Record that an attempt of an item is being sent to the engine."""
         self.n_running += 1
-        self.n_suspected += run.is_doubtful
+        self.n_suspected += run.is_suspected
         self.n_tokens += run.n_expected_tokens()
         self.n_by_group[run.group_key] += 1
 
     def remove_run(self, run: lifecycle.ItemRun) -> None:
         """Record that an attempt of an item at the engine has ended."""
         self.n_running -= 1
-        self.n_suspected -= run.is_doubtful
+        self.n_suspected -= run.is_suspected
         self.n_tokens -= run.n_expected_tokens()
         self.n_by_group[run.group_key] -= 1
         if not self.n_by_group[run.group_key]:
@@ -162,10 +162,10 @@
 
     def capacity(
         self, shares: engine_shares.Shares, slow_ids: frozenset[str] = frozenset()
-    ) -> scheduling.Place:
+    ) -> scheduling.EngineCapacity:
         """Return what item scheduling needs to know of the engine."""
         loading = frozenset({self.loading.model} if self.loading else ())
-        return scheduling.Place(
+        return scheduling.EngineCapacity(
             self.upstream_id,
             self.upstream.service,
             PROBE_SLOTS if self.was_slow else self.upstream.n_slots,
