--- a/bilberrydrum/relay/model.py
+++ b/bilberrydrum/relay/model.py
@@ -28,7 +28,7 @@
     body: bytes
     # When the caller stops waiting, in seconds of `clock.now`.
     deadline: float
-    is_client_gone: Callable[[], bool] = request_model.never
+    is_client_gone: Callable[[], bool] = request_model.never_gone
     # Its sender lets it run more than once, whatever its route says.
     may_run_again: bool = False
     # Asked right before each sending: why the sender does not want it any more, if so.
--- a/bilberrydrum/requests/admission.py
+++ b/bilberrydrum/requests/admission.py
@@ -1,13 +1,16 @@
-"""Who may send a call now, who waits, and who is refused.
-
-Start-time fair queueing: each client has a virtual time that grows by cost over share
-with each call; the waiting client with the least start time goes next. A client with
-nothing waiting holds nobody up, so capacity is used as long as anyone wants it. The
-queue of each client is bounded. A call that would miss its deadline is refused when
-that is seen, at its arrival or while it waits, never held to the deadline.
-
-The upstreams' capacity is not known here: `place` (of the routing) says whether there
-is room for a need. What cannot be placed waits until `pump` finds room for it.
+"""Admission control: grant, queue or refuse calls.
+
+Calls are scheduled by start-time fair queueing. Each client has a virtual start time,
+which grows with each call by the call's cost divided by the client's share; the waiting
+client with the earliest start time goes next. A client without waiting calls is
+skipped, so no capacity stays idle while any client has calls waiting. The queue of each
+client is bounded. A call that is expected to miss its deadline is refused as soon as
+this is known, at its arrival or while it waits; it isn't kept until the deadline
+passes.
+
+This module does not know the capacity of the upstreams. The callback `choose_upstream`
+(from the routing) returns an upstream with free capacity for a call, if there is one.
+A call without one waits until `schedule_waiting` finds an upstream for it.
 """
 
 import heapq
@@ -22,14 +25,14 @@
 from bilberrydrum.requests import queues, routing
 from bilberrydrum.upstreams import model as upstream_model
 
-# Longest time after which a refused caller is told to come back.
+# Bounds of the delay after which a refused caller should retry.
 MAX_RETRY_AFTER_SECONDS: Final = 30.0
 MIN_RETRY_AFTER_SECONDS: Final = 0.05
 
 
 @attrs.frozen
 class Granted:
-    """The call goes to this upstream now."""
+    """The call is to be sent to this upstream now."""
 
     ticket: queues.Ticket
     upstream: upstream_model.Upstream
@@ -45,8 +48,10 @@
 
 
 Effect = Granted | Refused
-# Returns the upstream that takes the call, or why none does.
-Place = Callable[[queues.Ticket], upstream_model.Upstream | routing.Lack]
+# Returns an upstream with capacity for the call, or why there is none.
+ChooseUpstream = Callable[
+    [queues.Ticket], upstream_model.Upstream | routing.Unavailable
+]
 
 
 @attrs.define
@@ -65,36 +70,39 @@
 
     @property
     def n_in_flight(self) -> int:
-        """Number of calls that were granted and have not ended."""
+        """Number of calls that were granted and are not finished yet."""
         return sum(domain.n_in_flight for domain in self._domains_by_name.values())
 
-    def offer(self, now: float, ticket: queues.Ticket, place: Place) -> list[Effect]:
-        """Grant, queue (no effect) or refuse a call that arrives."""
+    def offer(
+        self, now: float, ticket: queues.Ticket, choose_upstream: ChooseUpstream
+    ) -> list[Effect]:
+        """Grant, queue or refuse a new call; a queued call has no effect yet."""
         domain = self._domain(ticket.need)
         client = self._client(domain, ticket)
         ticket.number = ticket.number or next(self._numbers)
-        # Whatever else waits was found to have no place when it came or at the last
-        # pump. Only calls with the same need compete for a place that is free now.
-        if client.may_start() and not _has_rival(domain, ticket.need):
-            placed = place(ticket)
-            if placed is routing.Lack.UPSTREAM:
+        # Each waiting call had no free upstream when it arrived or at the last
+        # scheduling pass. So for an upstream that is free now, the new call competes
+        # only with waiting calls that have the same need.
+        if client.may_start() and not _has_competitor(domain, ticket.need):
+            chosen = choose_upstream(ticket)
+            if chosen is routing.Unavailable.NONE_ELIGIBLE:
                 return [self._refuse(domain, ticket, _NO_UPSTREAM, now)]
-            if not isinstance(placed, routing.Lack):
-                return [self._grant(domain, client, ticket, placed, now)]
+            if not isinstance(chosen, routing.Unavailable):
+                return [self._grant(domain, client, ticket, chosen, now)]
         if ticket.deadline <= now + self._expected_seconds(domain, client, ticket):
             return [self._refuse(domain, ticket, _LATE, now)]
         effects: list[Effect] = []
         if client.n_waiting >= self.max_queue_per_client:
-            last = max(client.waiting(), key=queues.order, default=None)
-            if last is None or queues.order(last) < queues.order(ticket):
+            last = max(client.waiting(), key=queues.sort_key, default=None)
+            if last is None or queues.sort_key(last) < queues.sort_key(ticket):
                 return [self._refuse(domain, ticket, reasons.Reason.QUEUE_FULL, now)]
             self._remove(domain, client, last)
             effects = [self._refuse(domain, last, reasons.Reason.QUEUE_FULL, now)]
         self._enqueue(domain, client, ticket)
         return effects
 
-    def foresee(self, now: float, ticket: queues.Ticket) -> Refused | None:
-        """Return the refusal that `offer` would give if there is no place now."""
+    def predict_refusal(self, now: float, ticket: queues.Ticket) -> Refused | None:
+        """Return the refusal `offer` would give if no upstream is free, or None."""
         domain = self._domain(ticket.need)
         client = self._client(domain, ticket)
         if not domain.n_waiting:
@@ -105,36 +113,50 @@
             return self._refuse(domain, ticket, reasons.Reason.QUEUE_FULL, now)
         return None
 
-    def pump(self, now: float, place: Place) -> list[Effect]:
-        """Refuse waiting calls that are too late, and grant those that have a place."""
+    def schedule_waiting(
+        self, now: float, choose_upstream: ChooseUpstream
+    ) -> list[Effect]:
+        """Refuse waiting calls that will be late; grant those with a free upstream."""
         effects: list[Effect] = []
         for domain in self._domains_by_name.values():
             if domain.n_waiting:
                 effects += self._refuse_late(domain, now)
-                effects += self._grant_waiting(domain, now, place)
+                effects += self._grant_waiting(domain, now, choose_upstream)
         return effects
 
-    def ended(
-        self, now: float, ticket: queues.Ticket, cost: float | None, is_whole: bool
+    def record_end(
+        self, now: float, ticket: queues.Ticket, cost: float | None, is_complete: bool
     ) -> None:
-        """Note that a granted call is over, and what it took of the capacity."""
+        """Record the end of a granted call.
+
+        Parameters
+        ----------
+        now : float
+            The time, in seconds.
+        ticket : Ticket
+            The call.
+        cost : float or None
+            The capacity it used, in units of its domain; None if that is not known.
+        is_complete : bool
+            Whether its answer was complete.
+        """
         domain = self._domain(ticket.need)
         client = self._client(domain, ticket)
         domain.n_in_flight -= 1
         client.n_in_flight -= 1
         if cost is not None:
             client.start += (cost - ticket.cost) / ticket.share
-        if is_whole:
+        if is_complete:
             spent = ticket.cost if cost is None else cost
-            domain.learn(now - ticket.granted_at, spent)
-        self._forget_idle(domain, ticket.client, client)
+            domain.update_means(now - ticket.granted_at, spent)
+        self._remove_if_idle(domain, ticket.client, client)
 
     def mean_seconds(self, need: routing.Need) -> float:
-        """Return the mean time of a call with such a need; 0: not known."""
+        """Return the mean seconds of a call with such a need; 0 if not known."""
         return self._domain(need).mean_seconds
 
     def withdraw(self, ticket: queues.Ticket) -> None:
-        """Take a waiting call out of its queue: nobody wants it any more."""
+        """Remove a call from its queue, if it still waits there."""
         if ticket.is_waiting:
             domain = self._domain(ticket.need)
             self._remove(domain, self._client(domain, ticket), ticket)
@@ -159,7 +181,7 @@
     ) -> None:
         queue = client.queues_by_need.setdefault(ticket.need, [])
         heapq.heappush(queue, (ticket.priority, ticket.number, ticket))
-        latest = ticket.deadline - domain.seconds_of(ticket)
+        latest = ticket.deadline - domain.expected_seconds(ticket)
         heapq.heappush(domain.by_latest_start, (latest, ticket.number, ticket))
         ticket.is_waiting = True
         client.n_waiting += 1
@@ -171,8 +193,9 @@
         ticket.is_waiting = False
         client.n_waiting -= 1
         domain.n_waiting -= 1
-        # Withdrawn entries are left in the heaps until they come up; when they are the
-        # most, the heap is made anew, or clients that come and go would fill it.
+        # Entries of withdrawn calls stay in the heaps until they reach the top. Once
+        # most entries are withdrawn, the heap is rebuilt without them. Otherwise it
+        # would grow without bound while clients keep connecting and hanging up.
         late = domain.by_latest_start
         if len(late) > 64 + 4 * domain.n_waiting:
             domain.by_latest_start = [entry for entry in late if entry[2].is_waiting]
@@ -200,17 +223,21 @@
         return Granted(ticket, upstream)
 
     def _grant_waiting(
-        self, domain: queues.Domain, now: float, place: Place
+        self, domain: queues.Domain, now: float, choose_upstream: ChooseUpstream
     ) -> Iterator[Effect]:
         full: set[routing.Need] = set()
         while domain.n_waiting:
-            effect = self._serve_next(domain, now, place, full)
+            effect = self._serve_next(domain, now, choose_upstream, full)
             if effect is None:
                 return
             yield effect
 
     def _serve_next(
-        self, domain: queues.Domain, now: float, place: Place, full: set[routing.Need]
+        self,
+        domain: queues.Domain,
+        now: float,
+        choose_upstream: ChooseUpstream,
+        full: set[routing.Need],
     ) -> Effect | None:
         waiting = [
             (max(client.start, domain.virtual_time), name, client)
@@ -221,14 +248,14 @@
             for ticket in client.heads():
                 if ticket.need in full:
                     continue
-                placed = place(ticket)
-                if placed is routing.Lack.ROOM:
+                chosen = choose_upstream(ticket)
+                if chosen is routing.Unavailable.ALL_FULL:
                     full.add(ticket.need)
                     continue
                 self._remove(domain, client, ticket)
-                if isinstance(placed, routing.Lack):
+                if isinstance(chosen, routing.Unavailable):
                     return self._refuse(domain, ticket, _NO_UPSTREAM, now)
-                return self._grant(domain, client, ticket, placed, now)
+                return self._grant(domain, client, ticket, chosen, now)
         return None
 
     def _refuse_late(self, domain: queues.Domain, now: float) -> Iterator[Effect]:
@@ -243,11 +270,12 @@
     def _expected_seconds(
         self, domain: queues.Domain, client: queues.Client, ticket: queues.Ticket
     ) -> float:
-        """Return how long the call will wait and take if nothing changes."""
+        """Return the seconds the call will wait and run if the load stays the same."""
         if not domain.mean_seconds or not domain.n_in_flight:
             return 0.0
-        # Little's law: calls in flight over their mean time is the rate of calls that
-        # end. Of it the client gets its share among those that wait.
+        # By Little's law, the rate at which calls finish is the number of calls in
+        # flight divided by their mean time. The client gets a part of this rate,
+        # according to its share among the clients with waiting calls.
         rate = domain.n_in_flight / domain.mean_seconds
         shares = sum(
             other.share
@@ -256,9 +284,10 @@
         )
         own_rate = rate * client.share / (shares + client.share)
         n_ahead = sum(
-            queues.order(other) < queues.order(ticket) for other in client.waiting()
+            queues.sort_key(other) < queues.sort_key(ticket)
+            for other in client.waiting()
         )
-        return (n_ahead + 1) / own_rate + domain.seconds_of(ticket)
+        return (n_ahead + 1) / own_rate + domain.expected_seconds(ticket)
 
     def _refuse(
         self,
@@ -267,31 +296,33 @@
         reason: reasons.Reason,
         now: float,
     ) -> Refused:
-        return Refused(ticket, reason, self._appointment(domain, now))
+        return Refused(ticket, reason, self._retry_after(domain, now))
 
-    def _appointment(self, domain: queues.Domain, now: float) -> float:
-        """Return in how many seconds a refused caller should come back.
+    def _retry_after(self, domain: queues.Domain, now: float) -> float:
+        """Return after how many seconds a refused caller should retry.
 
-        Callers refused in one moment and told the same time would come back in one
-        moment. So each gets the next of a row of appointments that are as far apart
-        as calls end, after those that wait now, with some chance for several gateways
-        whose rows begin at the same time.
+        If callers that are refused at the same moment all got the same delay, they
+        would all retry at the same moment. So each caller gets its own retry time. The
+        first one comes after the waiting calls are expected to be done; each further
+        one is later by the mean time between two calls that finish. The delays are
+        randomised because several gateways may begin at the same time.
         """
-        mean = domain.mean_seconds or routing.DEFAULT_SECONDS
+        mean = domain.mean_seconds or routing.DEFAULT_CALL_SECONDS
         gap = mean / max(1, domain.n_in_flight)
         drained = now + gap * domain.n_waiting
-        at = max(domain.last_appointment, drained) + gap
+        at = max(domain.last_retry_at, drained) + gap
         if at > now + MAX_RETRY_AFTER_SECONDS:
             at = now + MAX_RETRY_AFTER_SECONDS * self._rng.uniform(0.5, 1.0)
         else:
-            domain.last_appointment = at
+            domain.last_retry_at = at
         return max(MIN_RETRY_AFTER_SECONDS, (at - now) * self._rng.uniform(0.8, 1.2))
 
-    def _forget_idle(
+    def _remove_if_idle(
         self, domain: queues.Domain, name: str, client: queues.Client
     ) -> None:
-        # A client ahead of the virtual time is kept: coming back under a fresh record
-        # would let it start over with each call.
+        # The record of a client whose start time is ahead of the virtual time is kept.
+        # With a new record its next call would start at the current virtual time, and
+        # the calls that it has made already would not count against its share.
         is_idle = not client.n_waiting and not client.n_in_flight
         if is_idle and client.start <= domain.virtual_time:
             del domain.clients_by_name[name]
@@ -301,7 +332,7 @@
 _NO_UPSTREAM: Final = reasons.Reason.NO_UPSTREAM
 
 
-def _has_rival(domain: queues.Domain, need: routing.Need) -> bool:
+def _has_competitor(domain: queues.Domain, need: routing.Need) -> bool:
     if not domain.n_waiting:
         return False
     return any(
--- a/bilberrydrum/requests/attempts.py
+++ b/bilberrydrum/requests/attempts.py
@@ -86,7 +86,7 @@
     is_client_gone = outgoing.is_client_gone
     if not outgoing.is_idempotent:
         # What may run once only is not broken off: its result is kept for the retry.
-        is_client_gone = model.never
+        is_client_gone = model.never_gone
     try:
         with means.clients.watching(is_client_gone):
             yield
--- a/bilberrydrum/requests/claims_state.py
+++ b/bilberrydrum/requests/claims_state.py
@@ -1,14 +1,14 @@
 """Claims of non-idempotent requests in the replicated state.
 
-A key of a caller has at most one claim, and who holds the claim is the only one that
-may ever send the request. The claim ends in a result, in `unknown`, or is released by
-its holder, who alone can know that nothing was sent.
-
-Keys are forgotten after a while, or the state would grow for ever, and a forgotten key
-must not run a second time. A key that carries the time it was made (`keys`) is refused
-once it is older than any claim that was forgotten. A key without a time leaves a digest
-behind, which is kept; there is a bound on their number, and beyond it such keys are
-refused.
+A key of a caller has at most one claim, and only the holder of the claim may send the
+request. A claim ends with a result or as `unknown`, or its holder releases it. Only the
+holder can know that nothing was sent.
+
+Claims are removed after their lifetime, because the state would otherwise grow without
+bound. The request of a removed key must not run a second time. A key that contains its
+creation time (see `keys`) is refused if it is not newer than the newest such key
+removed so far. For a key without a time, a digest of the key is kept. The number of
+digests is bounded, and once the bound is reached, new keys without a time are refused.
 """
 
 import hashlib
@@ -26,7 +26,7 @@
 STATE_DONE: Final = "done"
 STATE_UNKNOWN: Final = "unknown"
 
-# Answers to `ClaimKey`.
+# Outcomes in a `ClaimAnswer`.
 CLAIM_GRANTED: Final = "granted"
 CLAIM_EXISTS: Final = "exists"
 CLAIM_OTHER_REQUEST: Final = "other-request"
@@ -34,25 +34,26 @@
 CLAIM_TOO_NEW: Final = "too-new"
 CLAIM_NO_ROOM: Final = "no-room"
 
-# Keys without a time that are remembered, as claims or digests. A digest has 16 bytes
-# and takes about 90 in memory.
+# Limit of the number of claims and digests together; once it is reached, new keys
+# without a time are refused. A digest has 16 bytes and takes about 90 bytes of memory.
 MAX_FORGOTTEN: Final = 250_000
-# Time by which a key's own time may be ahead of the state's. Its claim is kept that
-# much longer, so without a bound a wrong clock would make claims last for ever.
+# Time by which the creation time in a key may be ahead of the state time. The claim is
+# kept longer by as much, so without this bound a caller with a wrong clock could create
+# claims that are never removed.
 MAX_AHEAD_SECONDS: Final = 3600.0
-# Claims looked at for forgetting with each command; keeps a command short.
+# Maximum number of expired claims that one command removes, to keep commands short.
 _PRUNE_PER_COMMAND: Final = 16
 
 
 @codec.register("requests.result")
 @attrs.frozen
 class Result:
-    """An answer as it is given again."""
+    """A recorded answer, which is replayed to retries."""
 
     status: int
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
-    # False: the body was larger than results may be and is not kept.
+    # False if the body exceeded `max_result_bytes`; then only the status is kept.
     is_kept: bool = True
 
 
@@ -63,18 +64,18 @@
 
     caller: str
     key: str
-    # Digest of the request; the key is good for this request only.
+    # Digest of the request. The key can't be used for a different request.
     digest: str
-    # Names this claim among all that the key ever had; a gateway that was restarted
-    # does not know it and so holds none of its earlier claims.
+    # Unique id of this claim among all claims of the key. A restarted gateway does not
+    # know the ids of its earlier claims, and so can't act as their holder.
     claim_id: str
     # The gateway that may send the request.
     holder: str
-    # Seconds after the claim at which an answer can't come any more.
+    # Seconds from the claim after which the holder can't get an answer any more.
     holds_seconds: float
     # State time of the claim.
     made_at: float
-    # State time at which it may be forgotten.
+    # State time at which the claim may be removed.
     forget_at: float
     state: str = STATE_HELD
     result: Result | None = None
@@ -83,15 +84,16 @@
 @codec.register("requests.claims")
 @attrs.define
 class Claims:
-    """The section of the state."""
+    """The section of the replicated state that holds the claims."""
 
-    # In the order in which they were made.
+    # The claims in the order in which they were made.
     claims_by_name: dict[str, Claim] = attrs.field(factory=dict)
-    # Keys made at this time or before are refused.
+    # Keys whose creation time is at or before this time are refused.
     floor: float = 0.0
-    # Digests of forgotten keys that carry no time.
+    # Digests of removed keys that contain no time.
     forgotten: set[bytes] = attrs.field(factory=set)
-    # Restored from a back-up; the next command raises the floor to its own time.
+    # True if the section was restored from a backup and no `ClaimKey` has been applied
+    # since. The next one raises the floor to its own time.
     is_restored: bool = False
 
 
@@ -112,7 +114,7 @@
 @codec.register("requests.claim_answer")
 @attrs.frozen
 class ClaimAnswer:
-    """What became of a `ClaimKey`, one of the constants, and the claim there is."""
+    """The outcome of a command or query (a ``CLAIM_`` constant), and the claim."""
 
     outcome: str
     claim: Claim | None = None
@@ -121,7 +123,10 @@
 @codec.register("requests.finish_claim")
 @attrs.frozen
 class FinishClaim:
-    """Record the result of a claimed request, or that it is unknown (no result)."""
+    """Record the result of a claimed request, or that its outcome is unknown.
+
+    Without a `result`, the outcome is unknown.
+    """
 
     caller: str
     key: str
@@ -132,7 +137,11 @@
 @codec.register("requests.release_claim")
 @attrs.frozen
 class ReleaseClaim:
-    """Give up a claim. Only its holder may, who sent nothing and never will."""
+    """Release a claim.
+
+    Only the holder may send this command, and only if it has not sent the request and
+    never will.
+    """
 
     caller: str
     key: str
@@ -142,7 +151,7 @@
 @codec.register("requests.find_claim")
 @attrs.frozen
 class FindClaim:
-    """Ask what is known of a key."""
+    """Query what is known about a key."""
 
     caller: str
     key: str
@@ -150,7 +159,8 @@
 
 
 def _name(caller: str, key: str) -> str:
-    # The caller's name is in front, so that callers can't meet each other's keys.
+    # The caller's name and its length come first, so that names of different callers'
+    # keys never collide.
     return f"{len(caller)}:{caller}:{key}"
 
 
@@ -159,7 +169,7 @@
 
 
 def section(state: machine.State) -> Claims:
-    """Return the section of the state."""
+    """Return the section of the claims."""
     found: Claims = state.section(SECTION, Claims)
     return found
 
@@ -167,11 +177,11 @@
 @machine.apply.register
 def _(command: ClaimKey, state: machine.State, context: machine.Context) -> Any:
     claims = section(state)
-    _forget_old(claims, context.time)
+    _forget_expired(claims, context.time)
     name = _name(command.caller, command.key)
     known = claims.claims_by_name.get(name)
     if known is not None:
-        return _meet(known, command)
+        return _answer_existing(known, command)
     refusal = _refuse_new(claims, command, name, context.time)
     if refusal is not None:
         return ClaimAnswer(refusal)
@@ -190,11 +200,11 @@
     return ClaimAnswer(CLAIM_GRANTED, claim)
 
 
-def _meet(known: Claim, command: ClaimKey) -> ClaimAnswer:
+def _answer_existing(known: Claim, command: ClaimKey) -> ClaimAnswer:
     if known.digest != command.digest:
         return ClaimAnswer(CLAIM_OTHER_REQUEST, known)
-    # The same command again, its answer having been lost: the claim is still the
-    # sender's.
+    # The holder repeats its command because the answer was lost. It still holds the
+    # claim.
     if known.claim_id == command.claim_id and known.state == STATE_HELD:
         return ClaimAnswer(CLAIM_GRANTED, known)
     return ClaimAnswer(CLAIM_EXISTS, known)
@@ -216,9 +226,10 @@
 
 @machine.keep_rising.register
 def _(section: Claims, current: Any) -> None:
-    # Keys claimed after the back-up was made are not in it, and would run again.
-    # Those of the group that it is restored into are kept; of a group that was lost
-    # nothing is known, so no key made before the restoring is taken for a new one.
+    # Keys that were claimed after the backup was made are missing from it, and their
+    # requests would run again. If the backup is restored into a running group, the keys
+    # of that group are kept. If the group was lost, its keys are not known, so each
+    # key that was created before the restore is refused.
     section.is_restored = True
     if isinstance(current, Claims):
         section.claims_by_name.update(current.claims_by_name)
@@ -226,13 +237,13 @@
         section.floor = max(section.floor, current.floor)
 
 
-def _forget_old(claims: Claims, now: float) -> None:
+def _forget_expired(claims: Claims, now: float) -> None:
     if claims.is_restored:
         claims.floor = max(claims.floor, now)
         claims.is_restored = False
-    # The first claims are the oldest. Those behind one with a longer life wait for it;
-    # they are only kept longer than they need to be.
-    for name in list(_first(claims.claims_by_name, _PRUNE_PER_COMMAND)):
+    # The oldest claims come first. If one with a longer lifetime is ahead of others,
+    # those are kept until it expires as well, which is longer than needed but safe.
+    for name in list(_first_names(claims.claims_by_name, _PRUNE_PER_COMMAND)):
         claim = claims.claims_by_name[name]
         if claim.forget_at > now:
             return
@@ -241,12 +252,12 @@
         if key_time is None:
             claims.forgotten.add(_digest(name))
         else:
-            # Gateways with other settings, or a clock set back, must not take this
-            # key for a new one, whatever lifetime they name.
+            # This key must never be accepted again, even if a gateway sends a longer
+            # lifetime because of other settings, or if the state time is set back.
             claims.floor = max(claims.floor, key_time)
 
 
-def _first(mapping: dict[str, Claim], n_items: int) -> list[str]:
+def _first_names(mapping: dict[str, Claim], n_items: int) -> list[str]:
     return [name for name, _ in zip(mapping, range(n_items), strict=False)]
 
 
@@ -262,8 +273,8 @@
     if command.result is None:
         known = attrs.evolve(known, state=STATE_UNKNOWN)
     else:
-        # A result that comes after others held the request for lost is still the
-        # truth, and better than "unknown" for every retry from here on.
+        # The holder may send its result after another gateway has recorded the outcome
+        # as unknown. The result is correct, and all later retries get it instead.
         known = attrs.evolve(known, state=STATE_DONE, result=command.result)
     claims.claims_by_name[name] = known
     return ClaimAnswer(CLAIM_EXISTS, known)
@@ -275,11 +286,11 @@
     name = _name(command.caller, command.key)
     known = claims.claims_by_name.get(name)
     if known is None or known.claim_id != command.claim_id:
-        # Only its holder takes a claim away before its time, so an earlier try of this
-        # command did, whose answer was lost.
+        # Before a claim expires, only its holder can remove it. So an earlier copy of
+        # this command has removed it, and the answer was lost.
         return ClaimAnswer(CLAIM_GRANTED)
     if known.state != STATE_HELD:
-        # A caller was told "unknown" already; the key keeps that answer.
+        # A caller may have received "unknown" already, so the key keeps that answer.
         return ClaimAnswer(CLAIM_EXISTS, known)
     del claims.claims_by_name[name]
     return ClaimAnswer(CLAIM_GRANTED)
--- a/bilberrydrum/requests/dispatch.py
+++ b/bilberrydrum/requests/dispatch.py
@@ -140,15 +140,15 @@
                     events = attempts.stream(self._means, upstream, outgoing)
                     with contextlib.closing(events):
                         for event in events:
-                            progress.note(event)
+                            progress.record_event(event)
                             yield event
-                self._recovery.answered(call)
+                self._recovery.record_answer(call)
                 return
             except RefusedError as error:
                 yield _refused(error, progress)
                 return
             except attempts.AttemptError as error:
-                failed = self._recovery.after(call, progress, upstream, error)
+                failed = self._recovery.handle_failure(call, progress, upstream, error)
                 if failed is not None:
                     yield failed
                     return
@@ -173,12 +173,12 @@
                         call, progress, mean, clock.now()
                     )
                     answer = attempts.call(self._means, upstream, outgoing)
-                self._recovery.answered(call)
+                self._recovery.record_answer(call)
                 return result.Ok(answer)
             except RefusedError as error:
                 return _give_up(progress, _refused(error, progress))
             except attempts.AttemptError as error:
-                failed = self._recovery.after(call, progress, upstream, error)
+                failed = self._recovery.handle_failure(call, progress, upstream, error)
                 if failed is not None:
                     return _give_up(progress, failed)
 
@@ -210,7 +210,7 @@
 
         For a call that costs much before it is offered, as a claim does.
         """
-        refused = self._admission.foresee(clock.now(), self._ticket(call))
+        refused = self._admission.predict_refusal(clock.now(), self._ticket(call))
         if refused is None:
             return None
         return model.Failed(
@@ -247,7 +247,7 @@
         try:
             yield upstream
             is_whole = True
-            self._router.health.succeeded(upstream.upstream_id)
+            self._router.health.record_success(upstream.upstream_id)
         finally:
             self._leave(upstream, ticket, progress, is_whole)
 
@@ -263,8 +263,8 @@
         cost = 1.0
         if progress.need.kind == upstream_model.KIND_ENGINE:
             cost = float(progress.n_tokens)
-        self._router.ended(upstream.upstream_id, now, seconds, cost)
-        self._admission.ended(now, ticket, cost, is_whole)
+        self._router.record_end(upstream.upstream_id, now, seconds, cost)
+        self._admission.record_end(now, ticket, cost, is_whole)
         if self._admission.n_waiting:
             self._pump()
 
@@ -298,8 +298,8 @@
         # place would be lost for good.
         if isinstance(effect, admission.Granted):
             now = clock.now()
-            self._router.ended(effect.upstream.upstream_id, now, None)
-            self._admission.ended(now, effect.ticket, 0.0, False)
+            self._router.record_end(effect.upstream.upstream_id, now, None)
+            self._admission.record_end(now, effect.ticket, 0.0, False)
 
     def _tell(self, effect: admission.Effect) -> None:
         ready = self._events_by_number.get(effect.ticket.number)
@@ -317,10 +317,12 @@
                 self._queued = eventlet.event.Event()
 
     def _pump(self) -> None:
-        for effect in self._admission.pump(clock.now(), self._place):
+        for effect in self._admission.schedule_waiting(clock.now(), self._place):
             self._tell(effect)
 
-    def _place(self, ticket: queues.Ticket) -> upstream_model.Upstream | routing.Lack:
+    def _place(
+        self, ticket: queues.Ticket
+    ) -> upstream_model.Upstream | routing.Unavailable:
         now = clock.now()
         self._refresh(now)
         eligible = self._eligible_by_need.get(ticket.need)
@@ -337,8 +339,8 @@
         chosen = self._router.choose(
             eligible, now, self._n_gateways, holders, ticket.need.queue_depth
         )
-        if not isinstance(chosen, routing.Lack):
-            self._router.started(chosen.upstream_id, now)
+        if not isinstance(chosen, routing.Unavailable):
+            self._router.record_start(chosen.upstream_id, now)
         return chosen
 
     def _refresh(self, now: float) -> None:
@@ -369,9 +371,9 @@
 
 
 def _refused(error: RefusedError, progress: recovery.Progress) -> model.Failed:
-    if progress.failed is not None and error.reason is reasons.Reason.NO_UPSTREAM:
+    if progress.last_failure is not None and error.reason is reasons.Reason.NO_UPSTREAM:
         # There is no other upstream to try; why the last one failed says more.
-        return progress.failed
+        return progress.last_failure
     return model.Failed(
         error.reason,
         progress.may_have_run,
--- a/bilberrydrum/requests/fingerprints.py
+++ b/bilberrydrum/requests/fingerprints.py
@@ -1,13 +1,13 @@
-"""Tell whether two requests ask for the same work, whatever their ids.
+"""Fingerprints of requests, the same for requests for the same work.
 
-A caller that comes back gives each attempt an id of its own. What stays is whom and
-what it asks: method, host, path and query, who it is, and the body.
+A caller that retries gives each attempt an id of its own. The fingerprint depends only
+on what stays the same: method, host, path and query, the caller, and the body.
 """
 
 import hashlib
 
-# Digest size: two different requests out of 2**32 have the same one with a chance of
-# 2**-64, and it is short enough to be told to every process.
+# Among 2**32 different requests, the probability that any two have the same digest is
+# about 2**-64. The digest is short enough to be sent to every process.
 _DIGEST_BYTES = 16
 
 
@@ -24,22 +24,23 @@
     Parameters
     ----------
     method : str
-        Its method.
+        The HTTP method.
     host : str
-        The host that it names; case does not matter.
+        The requested host; case does not matter.
     target : str
-        Path and query as the caller wrote them.
+        Path and query, as the caller sent them.
     identity : str
-        Who asks, and whatever else its headers say of the work.
+        Who sends it, and whatever else in its headers determines the work.
     body : bytes
-        Its whole body.
+        The complete body.
     account : str
-        The account that it belongs to; empty: none.
+        The client account that it belongs to; empty if it has none.
     """
     digest = hashlib.blake2b(digest_size=_DIGEST_BYTES)
     for part in (method, host.lower(), target, identity, account):
         data = part.encode()
-        # With its length, so that no two lists of parts look alike.
+        # The length comes first. Without it, different lists of parts could
+        # concatenate to the same bytes.
         digest.update(b"%d:" % len(data))
         digest.update(data)
     digest.update(body)
--- a/bilberrydrum/requests/keys.py
+++ b/bilberrydrum/requests/keys.py
@@ -1,8 +1,8 @@
-"""Idempotency keys: which carry the time at which they were made.
+"""Parsing of idempotency keys, some of which contain their creation time.
 
-A key carries its time if it is a version 7 UUID (RFC 9562), or if it begins with the
-time in whole seconds since 1970, ten digits, and a hyphen: ``1764692651-permit-17``.
-The time is part of the key, so a retry can't carry another one.
+A key contains its creation time if it is a version 7 UUID (RFC 9562), or if it begins
+with the time in whole seconds since 1970, ten digits, and a hyphen, as in
+``1764692651-permit-17``. A retry has the same key, and so the same creation time.
 """
 
 import functools
@@ -19,12 +19,12 @@
 
 
 def is_valid(key: str) -> bool:
-    """Tell whether `key` is one that is taken: short, printable, not empty."""
+    """Return whether `key` is acceptable: not empty, printable and not too long."""
     return 0 < len(key) <= MAX_LENGTH and key.isprintable()
 
 
 def normalise(text: str) -> str:
-    """Return the key in a header's value, with or without quotes."""
+    """Return the key from a header's value, which may be quoted."""
     text = text.strip()
     if len(text) >= 2 and text[0] == text[-1] == '"':
         return text[1:-1]
@@ -33,7 +33,7 @@
 
 @functools.lru_cache(maxsize=4096)
 def time_of(key: str) -> float | None:
-    """Return the time at which `key` was made, in seconds since 1970, if it says."""
+    """Return the creation time in `key`, in seconds since 1970, or None."""
     match = _UUID_7.fullmatch(key)
     if match is not None:
         return int(match[1] + match[2], 16) / 1000.0
--- a/bilberrydrum/requests/model.py
+++ b/bilberrydrum/requests/model.py
@@ -1,4 +1,4 @@
-"""Calls to upstreams and what comes back from them."""
+"""Calls to upstreams and their results."""
 
 from collections.abc import Callable
 from typing import Final
@@ -13,12 +13,12 @@
 
 
 def no_refusal(bundle: bundle_model.Bundle) -> reasons.Reason | None:
-    """Allow the call to be sent, the default of `find_refusal`."""
+    """Allow the call to be sent; the default of `find_refusal`."""
     return None
 
 
-def never() -> bool:
-    """Tell that the client waits, the default of `is_client_gone`."""
+def never_gone() -> bool:
+    """Return that the client still waits; the default of `is_client_gone`."""
     return False
 
 
@@ -30,51 +30,52 @@
     model: str
     prompt: str
     max_tokens: int
-    # Who it is for: a caller's or trainer's name; the unit of fair sharing.
+    # Name of the caller or trainer. Capacity is shared fairly among clients.
     client: str
-    # When the answer is of no more use, in seconds of `clock.now`.
+    # When the client stops waiting for the answer, in seconds of `clock.now`.
     deadline: float
     # Share of capacity relative to the other clients.
     share: float = 1.0
-    # Lower goes first, among the calls of one client and at the engine.
+    # Calls with a lower value go first, among those of one client and at the engine.
     priority: int = 0
     adapter: str = ""
-    # Only engines that generate with at least this version; -1: any.
+    # The engine must generate with at least this weight version; -1: any.
     min_weight_version: int = -1
-    # Tokens made already, when a stream is resumed.
+    # Tokens generated already, when a stream is resumed.
     resume_token_ids: tuple[int, ...] = ()
     # Engines that must not be chosen.
     excluded_upstream_ids: frozenset[str] = frozenset()
-    # Tokens that are likely to be generated; 0: not known.
+    # Tokens that are expected to be generated; 0: not known.
     expected_tokens: int = 0
-    # Calls that may wait at an engine per place it has. Work that nobody waits for one
-    # by one keeps the engine's places filled while its reports are under way.
+    # Calls that may be queued at an engine, per unit of its capacity. Calls that no
+    # client waits for individually use it to keep the engine busy: the engine's report
+    # of a free run slot arrives with a delay, and the slot would stay idle until then.
     queue_depth: float = 0.0
-    # May be sent again after a failure.
+    # Whether the call may be sent again after a failure.
     is_idempotent: bool = True
-    # Most calls of the client in flight at this gateway; 0: no bound.
+    # Maximum number of the client's calls in flight at this gateway; 0: no limit.
     max_in_flight: int = 0
-    # Asked immediately before the first byte goes out, with the bundle in force then:
-    # why it must not, if so.
+    # Called immediately before the first byte is sent, with the bundle then in force;
+    # returns why the call must not be sent, or None.
     find_refusal: Callable[[bundle_model.Bundle], reasons.Reason | None] = no_refusal
-    # Tells whether nobody waits for the answer any more.
-    is_client_gone: Callable[[], bool] = never
+    # Returns whether the client has stopped waiting for the answer.
+    is_client_gone: Callable[[], bool] = never_gone
 
 
 @attrs.frozen
 class Tokens:
-    """Some tokens of a stream, as the engine reported them."""
+    """Tokens of a stream, as the engine reported them in one event."""
 
     text: str
     token_ids: tuple[int, ...]
-    # Version that made these tokens; None: the engine did not say.
+    # Weight version that generated them; None: the engine did not report it.
     weight_version: int | None
     upstream_id: str
 
 
 @attrs.frozen
 class Finished:
-    """The stream ended whole."""
+    """The stream is complete."""
 
     finish_reason: str
     upstream_id: str
@@ -82,10 +83,10 @@
 
 @attrs.frozen
 class Failed:
-    """The call ended without a whole answer.
+    """The call ended without a complete answer.
 
-    `may_have_run` is False only if no byte of the request reached any upstream, but for
-    engines that refused it as busy.
+    `may_have_run` is False only if no byte of the request reached any upstream other
+    than engines that refused it as busy.
     """
 
     reason: reasons.Reason
@@ -105,7 +106,7 @@
     request_id: str
     application: str
     method: str
-    # Path and query as the service sees them.
+    # Path and query, as sent to the service.
     target: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
@@ -113,24 +114,25 @@
     deadline: float
     share: float = 1.0
     priority: int = 0
-    # May be sent again after a failure.
+    # Whether the call may be sent again after a failure.
     is_idempotent: bool = True
-    # Most calls of the client in flight at this gateway; 0: no bound.
+    # Maximum number of the client's calls in flight at this gateway; 0: no limit.
     max_in_flight: int = 0
-    # Asked immediately before the first byte goes out, with the bundle in force then:
-    # why it must not, if so.
+    # Called immediately before the first byte is sent, with the bundle then in force;
+    # returns why the call must not be sent, or None.
     find_refusal: Callable[[bundle_model.Bundle], reasons.Reason | None] = no_refusal
-    # Tells whether nobody waits for the answer any more.
-    is_client_gone: Callable[[], bool] = never
+    # Returns whether the client has stopped waiting for the answer.
+    is_client_gone: Callable[[], bool] = never_gone
 
 
 @attrs.frozen
 class ApplicationAnswer:
-    """The whole answer of a plain service."""
+    """The complete answer of a plain service."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
     upstream_id: str
-    # It named the request; another one's answer cannot be told apart without.
+    # Whether the answer carried the id of the request. Without the id, the answer to
+    # another request can't be recognised.
     is_named: bool = False
--- a/bilberrydrum/requests/outgoing_requests.py
+++ b/bilberrydrum/requests/outgoing_requests.py
@@ -48,7 +48,7 @@
     # Asked immediately before the first byte: why it must not go out, if so.
     find_refusal: Callable[[], reasons.Reason | None]
     # Tells whether nobody waits for the answer any more.
-    is_client_gone: Callable[[], bool] = model.never
+    is_client_gone: Callable[[], bool] = model.never_gone
     # When the first byte may have gone out, in seconds of `clock.now`; None: none has.
     sent_at: float | None = None
     # Header by which the answer names this request.
--- a/bilberrydrum/requests/queues.py
+++ b/bilberrydrum/requests/queues.py
@@ -1,4 +1,4 @@
-"""The waiting calls of the clients in one domain, for `admission`."""
+"""Queues of waiting calls for `admission`, by domain and client."""
 
 import heapq
 from collections.abc import Iterator
@@ -8,7 +8,7 @@
 
 from bilberrydrum.requests import routing
 
-# Share that the newest call has in the means of a domain.
+# Weight of the newest call in the moving averages of a domain.
 _SMOOTHING: Final = 0.05
 
 
@@ -18,16 +18,16 @@
 
     client: str
     need: routing.Need
-    # When its answer is of no more use.
+    # When the client stops waiting for the answer, in seconds of `clock.now`.
     deadline: float
     share: float = 1.0
-    # Lower goes first among the calls of one client.
+    # Calls with a lower value go first, among those of one client.
     priority: int = 0
-    # What it is expected to take of the capacity, in units of its domain.
+    # Capacity it is expected to use: tokens for an engine, calls for an application.
     cost: float = 1.0
-    # Most calls of the client in flight; 0: no bound.
+    # Maximum number of the client's calls in flight; 0: no limit.
     max_in_flight: int = 0
-    # Prompt prefix, for the routing.
+    # Digest of the prompt's prefix, for the routing.
     prefix: str = ""
     # Position in the order of arrival.
     number: int = 0
@@ -35,10 +35,11 @@
     granted_at: float = 0.0
 
     def __lt__(self, other: "Ticket") -> bool:
-        """Leave the order of two tickets of one call, which share a number, open.
+        """Treat tickets with equal priority and number as equal in a heap.
 
-        A call that failed at an upstream and comes back may find its earlier ticket
-        still in a heap.
+        A call that failed at an upstream is queued again under its earlier number,
+        while its earlier ticket may still be in a heap. Without this method, comparing
+        the two heap entries would fail.
         """
         return False
 
@@ -53,17 +54,17 @@
     n_waiting: int = 0
     n_in_flight: int = 0
     max_in_flight: int = 0
-    # Heaps of (priority, number, ticket) by need.
+    # For each need, a heap of (priority, number, ticket).
     queues_by_need: dict[routing.Need, list[tuple[int, int, Ticket]]] = attrs.field(
         factory=dict
     )
 
     def may_start(self) -> bool:
-        """Tell whether it may have one more call in flight."""
+        """Return whether the client may have one more call in flight."""
         return self.max_in_flight == 0 or self.n_in_flight < self.max_in_flight
 
     def heads(self) -> list[Ticket]:
-        """Return the first call of each queue, those to go first in front."""
+        """Return the first waiting call of each queue, in the order of `sort_key`."""
         found = []
         for need in list(self.queues_by_need):
             queue = self.queues_by_need[need]
@@ -76,7 +77,7 @@
         return [entry[2] for entry in sorted(found)]
 
     def waiting(self) -> Iterator[Ticket]:
-        """Return the waiting calls, in no order."""
+        """Yield the waiting calls, in no particular order."""
         for queue in self.queues_by_need.values():
             for _, _, ticket in queue:
                 if ticket.is_waiting:
@@ -85,25 +86,25 @@
 
 @attrs.define
 class Domain:
-    """Calls that share upstreams."""
+    """All calls that compete for the same upstreams; see `routing.Need.domain`."""
 
     clients_by_name: dict[str, Client] = attrs.field(factory=dict)
-    # Start time of the call that was sent last.
+    # Virtual start time of the call that was granted last.
     virtual_time: float = 0.0
     n_waiting: int = 0
     n_in_flight: int = 0
-    # Mean seconds of a call; 0: none has ended.
+    # Mean seconds of a call; 0 until the first complete one.
     mean_seconds: float = 0.0
     # Mean cost of a call.
     mean_cost: float = 0.0
-    # Waiting calls by the time at which it is too late for them; withdrawn ones stay
-    # until that time has come.
+    # Heap of the waiting calls by the latest time at which they can start and still
+    # meet their deadline. Withdrawn calls may stay in it until that time.
     by_latest_start: list[tuple[float, int, Ticket]] = attrs.field(factory=list)
-    # Time given to the caller that was refused last.
-    last_appointment: float = 0.0
+    # Latest time at which a refused caller was told to retry.
+    last_retry_at: float = 0.0
 
-    def learn(self, seconds: float, cost: float) -> None:
-        """Take a whole call into the means."""
+    def update_means(self, seconds: float, cost: float) -> None:
+        """Include a complete call in the moving averages."""
         if not self.mean_seconds:
             self.mean_seconds = seconds
             self.mean_cost = cost
@@ -111,16 +112,18 @@
         self.mean_seconds += _SMOOTHING * (seconds - self.mean_seconds)
         self.mean_cost += _SMOOTHING * (cost - self.mean_cost)
 
-    def seconds_of(self, ticket: Ticket) -> float:
-        """Return how long the call should take once it is sent; never too much.
+    def expected_seconds(self, ticket: Ticket) -> float:
+        """Return the seconds that the call is expected to take once it is sent.
 
-        A call's cost is the most it may take, so it can only shorten the mean.
+        The cost of a waiting call is an upper bound. So a cost below the mean shortens
+        the estimate, but a cost above it doesn't lengthen it; otherwise calls that use
+        less than their bound would be refused as too late.
         """
         if self.mean_cost <= ticket.cost:
             return self.mean_seconds
         return self.mean_seconds * ticket.cost / self.mean_cost
 
 
-def order(ticket: Ticket) -> tuple[int, int]:
-    """Return the key by which the calls of one client are ordered."""
+def sort_key(ticket: Ticket) -> tuple[int, int]:
+    """Return the key by which the waiting calls of one client are sorted."""
     return (ticket.priority, ticket.number)
--- a/bilberrydrum/requests/recovery.py
+++ b/bilberrydrum/requests/recovery.py
@@ -1,4 +1,4 @@
-"""After a failed attempt: give up, or try another upstream."""
+"""Decide after a failed attempt whether to retry a call or to give up."""
 
 from typing import Final
 
@@ -17,40 +17,41 @@
 )
 from bilberrydrum.upstreams import model as upstream_model
 
-# Longest and shortest time an upstream that said it was busy is left alone.
-MAX_BUSY_SECONDS: Final = 1.0
-MIN_BUSY_SECONDS: Final = 0.05
-# Times a call goes back to the queue because its upstream was busy.
-MAX_BUSY: Final = 20
-# A timeout after less time says nothing about the upstream. Counted as its failure, a
-# caller that asks for a millisecond would have every upstream ejected.
-FAIR_SECONDS: Final = 2.0
-# An attempt at a service that takes this many times as long as calls do on average, and
-# at least `FAIR_SECONDS`, is broken off for another one.
-PATIENCE: Final = 10.0
+# Bounds of the time for which an upstream that answered as busy gets no calls.
+MAX_BUSY_PAUSE_SECONDS: Final = 1.0
+MIN_BUSY_PAUSE_SECONDS: Final = 0.05
+# Maximum number of times that a call is queued again because its upstream was busy.
+MAX_BUSY_RETRIES: Final = 20
+# A timeout of an attempt that took less time is not counted as a failure of the
+# upstream. Otherwise a caller with a deadline of a millisecond would get each upstream
+# ejected.
+MIN_ATTEMPT_TIMEOUT_SECONDS: Final = 2.0
+# The timeout of an attempt at a service is this factor times the mean time of a call,
+# and at least `MIN_ATTEMPT_TIMEOUT_SECONDS`. After it, another upstream is tried.
+ATTEMPT_TIMEOUT_FACTOR: Final = 10.0
 
 
 @attrs.define
 class Progress:
-    """What became of one call so far."""
+    """The state of one call over its attempts."""
 
     need: routing.Need
-    # Position in the order of arrival; 0: none yet.
+    # Position in the order of arrival; 0 until the call is first queued or granted.
     number: int = 0
-    # When the last attempt began.
+    # When the last attempt was granted, in seconds of `clock.now`.
     began_at: float = 0.0
     n_attempts: int = 0
-    n_busy: int = 0
+    n_busy_refusals: int = 0
     n_tokens: int = 0
     may_have_run: bool = False
     # Why the last attempt failed.
-    failed: model.Failed | None = None
-    # The service's own answer that it failed, from the last attempt.
+    last_failure: model.Failed | None = None
+    # The error answer of the service itself, if the last attempt got one.
     answer: model.ApplicationAnswer | None = None
-    # When the first tokens were there.
+    # When the first tokens arrived, in seconds of `clock.now`.
     first_tokens_at: float | None = None
 
-    def note(self, event: model.StreamEvent) -> None:
+    def record_event(self, event: model.StreamEvent) -> None:
         """Count the tokens of `event`."""
         if isinstance(event, model.Tokens):
             self.n_tokens += max(1, len(event.token_ids))
@@ -58,7 +59,7 @@
                 self.first_tokens_at = clock.now()
 
     def has_survived(self) -> bool:
-        """Tell whether the stream was well for so long that its call is cleared."""
+        """Return whether the stream ran long enough to clear the call of suspicion."""
         if self.first_tokens_at is None:
             return False
         return clock.now() - self.first_tokens_at >= quarantine.SURVIVED_SECONDS
@@ -66,7 +67,7 @@
 
 @attrs.frozen
 class Recovery:
-    """Decides after failed attempts, and notes what they say about the upstreams."""
+    """Decides about retries, and records failures of upstreams and suspected calls."""
 
     router: routing.Router
     pool: connections.Connections
@@ -75,29 +76,29 @@
     crashes: crash_memory.CrashMemory
 
     def find_refusal(self, call: calls.Call, progress: Progress) -> model.Failed | None:
-        """Return the failure to give up with, by what the call is held to be."""
+        """Return the failure if the call is suspected or quarantined, or None."""
         refusal = self.crashes.find_refusal(call, progress.may_have_run)
         if refusal is None:
             return None
         counters.refused(refusal)
         return model.Failed(refusal, progress.may_have_run)
 
-    def answered(self, call: calls.Call) -> None:
-        """Note that a call came to an end."""
+    def record_answer(self, call: calls.Call) -> None:
+        """Record that a call was answered."""
         self.crashes.was_answered(call)
 
-    def after(
+    def handle_failure(
         self,
         call: calls.Call,
         progress: Progress,
         upstream: upstream_model.Upstream,
         error: attempts.AttemptError,
     ) -> model.Failed | None:
-        """Return the failure to give up with, or None to try again."""
+        """Record a failed attempt; return the failure, or None to retry."""
         now = clock.now()
         progress.may_have_run |= error.may_have_run
         progress.answer = error.answer
-        progress.failed = model.Failed(
+        progress.last_failure = model.Failed(
             error.reason,
             progress.may_have_run,
             upstream.upstream_id,
@@ -105,18 +106,18 @@
             error.retry_after_seconds,
         )
         if error.is_refusal:
-            return progress.failed
+            return progress.last_failure
         if progress.has_survived() or error.answer is not None:
             self.crashes.was_answered(call)
         else:
             seconds = now - progress.began_at
             self.crashes.run_broke(call, upstream, error, seconds)
         if error.reason is reasons.Reason.UPSTREAM_BUSY:
-            self._note_busy(progress, upstream, error, now)
+            self._record_busy(progress, upstream, error, now)
         else:
-            self._note_failure(progress, upstream, error, now)
+            self._record_failure(progress, upstream, error, now)
         if not self._may_retry(call, progress, error, now):
-            return progress.failed
+            return progress.last_failure
         counters.retried(error.reason)
         return None
 
@@ -127,17 +128,20 @@
         mean_seconds: float,
         now: float,
     ) -> float:
-        """Return when an attempt is to be broken off, at the latest by the deadline.
+        """Return when an attempt times out, which is at the call's deadline or before.
 
-        A service that hangs and goes on renewing its lease would hold a call to its
-        deadline while others could answer it. The last attempt gets all the time that
-        is left, so a call that needs long is served.
+        Without a timeout per attempt, a service that hangs but still renews its lease
+        would hold the call until its deadline, although other upstreams could answer
+        it. The last attempt may take all the time that is left, so that a call that
+        takes unusually long can complete.
         """
         is_last = progress.n_attempts + 1 >= self.max_attempts
         if is_last or not call.is_idempotent or not mean_seconds:
             return call.deadline
-        patience = max(FAIR_SECONDS, PATIENCE * mean_seconds)
-        return min(call.deadline, now + patience)
+        timeout = max(
+            MIN_ATTEMPT_TIMEOUT_SECONDS, ATTEMPT_TIMEOUT_FACTOR * mean_seconds
+        )
+        return min(call.deadline, now + timeout)
 
     def _may_retry(
         self,
@@ -146,14 +150,14 @@
         error: attempts.AttemptError,
         now: float,
     ) -> bool:
-        # What may have run is not sent again unless it may run twice, and a stream that
-        # has begun is its client's to resume.
+        # A call that may have run is retried only if it is idempotent. A stream that
+        # has delivered tokens is not retried here; its client may resume it.
         if progress.n_tokens or (error.may_have_run and not call.is_idempotent):
             return False
         if now >= call.deadline:
             return False
         if error.reason is reasons.Reason.UPSTREAM_BUSY:
-            return progress.n_busy <= MAX_BUSY
+            return progress.n_busy_refusals <= MAX_BUSY_RETRIES
         if progress.n_attempts >= self.max_attempts:
             return False
         if not self.budget.take(now):
@@ -161,18 +165,20 @@
             return False
         return True
 
-    def _note_busy(
+    def _record_busy(
         self,
         progress: Progress,
         upstream: upstream_model.Upstream,
         error: attempts.AttemptError,
         now: float,
     ) -> None:
-        wait = max(MIN_BUSY_SECONDS, error.retry_after_seconds)
-        self.router.busy(upstream.upstream_id, now + min(wait, MAX_BUSY_SECONDS))
-        progress.n_busy += 1
+        pause = max(MIN_BUSY_PAUSE_SECONDS, error.retry_after_seconds)
+        self.router.record_busy(
+            upstream.upstream_id, now + min(pause, MAX_BUSY_PAUSE_SECONDS)
+        )
+        progress.n_busy_refusals += 1
 
-    def _note_failure(
+    def _record_failure(
         self,
         progress: Progress,
         upstream: upstream_model.Upstream,
@@ -186,11 +192,11 @@
             | {upstream.upstream_id},
         )
         is_timeout = error.reason is reasons.Reason.UPSTREAM_TIMEOUT
-        if is_timeout and now - progress.began_at < FAIR_SECONDS:
+        if is_timeout and now - progress.began_at < MIN_ATTEMPT_TIMEOUT_SECONDS:
             return
-        # Others of its connections are likely to be dead too.
+        # The other connections to this address are probably dead too.
         self.pool.forget(upstream.address)
-        if self.router.health.failed(upstream.upstream_id, now):
+        if self.router.health.record_failure(upstream.upstream_id, now):
             eliot.log_message(
                 message_type="upstream:ejected",
                 upstream_id=upstream.upstream_id,
--- a/misc/measures/plain_daemon.py
+++ b/misc/measures/plain_daemon.py
@@ -28,12 +28,12 @@
     now: float,
     *others: Any,
     **options: Any,
-) -> upstream_model.Upstream | routing.Lack:
+) -> upstream_model.Upstream | routing.Unavailable:
     """Return the next engine in turn."""
     del router, now, others, options
     upstreams = sorted(eligible, key=lambda upstream: upstream.upstream_id)
     if not upstreams:
-        return routing.Lack.UPSTREAM
+        return routing.Unavailable.NONE_ELIGIBLE
     return upstreams[next(_turns) % len(upstreams)]
 
 
--- a/misc/measures/routing_model.py
+++ b/misc/measures/routing_model.py
@@ -163,10 +163,10 @@
 
     def _pump(self, gateway: int) -> None:
         queue = self._admissions[gateway]
-        self._carry_out(queue.pump(self.now, self._placer(gateway)))
+        self._carry_out(queue.schedule_waiting(self.now, self._placer(gateway)))
 
-    def _placer(self, gateway: int) -> admission.Place:
-        def place(ticket: queues.Ticket) -> model.Upstream | routing.Lack:
+    def _placer(self, gateway: int) -> admission.ChooseUpstream:
+        def place(ticket: queues.Ticket) -> model.Upstream | routing.Unavailable:
             holders = frozenset()
             if self.policy == "expected-wait-and-prefix":
                 holders = frozenset(
@@ -177,8 +177,8 @@
             chosen = self._routers[gateway].choose(
                 self._reports.values(), self.now, self.sizes.n_gateways, holders
             )
-            if not isinstance(chosen, routing.Lack):
-                self._routers[gateway].started(chosen.upstream_id, self.now)
+            if not isinstance(chosen, routing.Unavailable):
+                self._routers[gateway].record_start(chosen.upstream_id, self.now)
             return chosen
 
         return place
@@ -218,8 +218,10 @@
         if call.ticket is None:
             return
         seconds = self.now - call.ticket.granted_at
-        self._routers[call.gateway].ended(upstream_id, self.now, seconds, call.seconds)
-        self._admissions[call.gateway].ended(self.now, call.ticket, None, True)
+        self._routers[call.gateway].record_end(
+            upstream_id, self.now, seconds, call.seconds
+        )
+        self._admissions[call.gateway].record_end(self.now, call.ticket, None, True)
         self._pump(call.gateway)
 
 
--- a/tests/fakes/application.py
+++ b/tests/fakes/application.py
@@ -1,4 +1,4 @@
-"""What the stand-ins for plain services share: announcing, faults and leaving."""
+"""Common parts of fake plain services: announcement, faults and shutdown."""
 
 import argparse
 import os
@@ -15,14 +15,14 @@
 
 
 class Application:
-    """One process of a plain service.
+    """One process of a fake plain service.
 
     Parameters
     ----------
     name : str
         Name of the application.
     options : argparse.Namespace
-        Options of `announcer.add_options` and `add_options`.
+        Parsed options of `parser`.
     """
 
     def __init__(self, name: str, options: argparse.Namespace) -> None:
@@ -39,7 +39,7 @@
         )
 
     def add(self, method: str, pattern: str, handler: server.Handler) -> None:
-        """Serve a method and a path, with the faults that are switched on."""
+        """Serve a method and a path, with the faults that are enabled."""
 
         def serve(request: server.Request) -> server.Answer:
             self._n_running += 1
@@ -51,7 +51,7 @@
         self.server.add(method, pattern, serve)
 
     def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until SIGTERM."""
         server.on_terminate(self._stop)
         eventlet.spawn(self._announcer.run)
         self.server.serve(self.options.port)
@@ -68,7 +68,7 @@
     def _control(self, request: server.Request) -> server.Answer:
         for name, value in request.json().items():
             if not hasattr(self.faults, name):
-                return server.Answer(400, {"error": f"no fault {name}"})
+                return server.Answer(400, {"error": f"unknown fault: {name}"})
             setattr(self.faults, name, value)
         return server.Answer(value=attrs.asdict(self.faults))
 
@@ -86,7 +86,7 @@
         return {"load": {"n_running": self._n_running, "n_waiting": 0}}
 
     def _stop(self) -> None:
-        """Leave, let calls in progress end for a while, and exit."""
+        """Send a leave, wait up to `leave_seconds` for calls in progress, and exit."""
         self._announcer.leave()
         with eventlet.Timeout(self.options.leave_seconds, False):
             while self._n_running:
@@ -95,7 +95,7 @@
 
 
 def parser(description: str | None) -> argparse.ArgumentParser:
-    """Return a parser with the options of an application."""
+    """Return a parser with the command-line options of an application."""
     arguments = argparse.ArgumentParser(description=description)
     announcer.add_options(arguments)
     arguments.add_argument("--max-concurrency", type=int, default=8)
--- a/tests/fakes/deployment.py
+++ b/tests/fakes/deployment.py
@@ -1,4 +1,4 @@
-"""A test case of two gateways before one application and some engines."""
+"""A test case with two gateways, one application and optional engines."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 
 class Deployment(unittest.TestCase):
-    """Two gateways before one application and one engine."""
+    """Two gateways in front of one application; tests add engines."""
 
     def setUp(self):
         self.group = gateway_parts.StateGroup()
--- a/tests/fakes/dispatching.py
+++ b/tests/fakes/dispatching.py
@@ -1,4 +1,4 @@
-"""A test case of a dispatcher before scripted upstreams."""
+"""A test case with a dispatcher and scripted upstreams."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class Gateway(unittest.TestCase):
-    """A dispatcher and the upstreams before it."""
+    """A dispatcher and the upstreams that it sends calls to."""
 
     def setUp(self):
         self.registry = gateway_parts.Registry()
@@ -20,7 +20,7 @@
         self.dispatcher = self.start_dispatcher(**options)
 
     def start_dispatcher(self, **options):
-        """Return the dispatcher of one more gateway."""
+        """Start and return the dispatcher of one more gateway."""
         bundles = gateway_parts.Bundles()
         bundles.state = self.state.state
         started = dispatch.RequestDispatcher(
--- a/tests/fakes/faults.py
+++ b/tests/fakes/faults.py
@@ -1,14 +1,14 @@
-"""Faults that stand-ins for upstreams are told to have."""
+"""Faults that tests enable in fake upstreams."""
 
 import attrs
 
 
 @attrs.define
 class Switches:
-    """Switches of one upstream; numbers count down to zero."""
+    """Faults of one fake upstream; counters give how often a fault still happens."""
 
     def take(self, name: str) -> bool:
-        """Tell whether a fault is to happen now, and count it down."""
+        """Return whether a fault is to happen now, and decrement its counter."""
         left = getattr(self, name)
         if left <= 0:
             return False
@@ -18,27 +18,27 @@
 
 @attrs.define
 class EngineFaults(Switches):
-    """Switches of one engine."""
+    """Faults of one fake engine."""
 
-    # Ends the process once this many more tokens were made; -1: never.
+    # The process crashes after generating this many more tokens; -1: never.
     crash_after_tokens: int = -1
-    # Swap orders that fail.
+    # Number of weight swaps that fail.
     fail_swaps: int = 0
-    # Streams whose connection closes after their first event.
+    # Number of streams whose connection is closed after their first event.
     reset_streams: int = 0
-    # Streams that end after their first event, without a finish reason.
+    # Number of streams that end after their first event, without a finish reason.
     cut_streams: int = 0
-    # Streams that carry another request's id and its answer.
+    # Number of streams with the id and the answer of another request.
     wrong_ids: int = 0
-    # Streams of a later weight version that leave the version out.
+    # Number of streams that are generated with the next weight version and omit it.
     hide_versions: int = 0
-    # Factor on the time of a step.
+    # Factor on the time of a generation step.
     slowness: float = 1.0
 
 
 @attrs.define
 class ApplicationFaults(Switches):
-    """Switches of one application."""
+    """Faults of one fake application."""
 
-    # How long answers to changes are held after the work was done.
+    # Delay of the answer after a change was carried out, in seconds.
     slow_changes_seconds: float = 0.0
--- a/tests/fakes/gateway_parts.py
+++ b/tests/fakes/gateway_parts.py
@@ -1,4 +1,4 @@
-"""Small fakes of what a gateway's request path sees: bundle, registry, state group."""
+"""Fakes of the parts that a gateway's request path uses: bundle, registry, state."""
 
 from typing import Any
 
@@ -27,7 +27,7 @@
 
 
 class Bundles:
-    """An `interfaces.BundleView` that says what it is told to."""
+    """An `interfaces.BundleView` with values that a test sets."""
 
     def __init__(self, bundle: bundle_model.Bundle = BUNDLE) -> None:
         self.bundle: Any = result.Ok(bundle)
@@ -35,7 +35,7 @@
             "g1": interfaces.Gateway("g1", "127.0.0.1:1", "a", "r", 1)
         }
         self.versions: dict[str, int] = {}
-        # That of the state group, where there is one.
+        # The state of the `StateGroup`, if the test has one.
         self.state = machine.State()
 
     def current(self) -> Any:
@@ -69,23 +69,23 @@
 
 
 class StateGroup:
-    """A `StateClient` that applies at once; a test can take its majority away.
+    """A `StateClient` that applies commands at once, unless a test takes its majority.
 
-    What goes in and out passes through the codec, as it does on the wire.
+    Commands and answers pass through the codec, as they do on the wire.
     """
 
     def __init__(self) -> None:
         self.state = machine.State()
         self.has_majority = True
-        # Commands are applied, but their answers are lost.
+        # If true, commands are applied, but their answers are lost.
         self.loses_answers = False
-        # Added to the clock, for the state's own time.
-        self.ahead = 1_000_000_000.0
+        # Difference between the state time and `clock.now`, in seconds.
+        self.clock_offset = 1_000_000_000.0
         self.submitted: list[object] = []
         self._index = 0
 
     def now(self) -> float:
-        return clock.now() + self.ahead
+        return clock.now() + self.clock_offset
 
     def submit(self, command: object, timeout: float = 5.0) -> Any:
         eventlet.sleep(0)
--- a/tests/fakes/journal.py
+++ b/tests/fakes/journal.py
@@ -1,7 +1,7 @@
-"""A file of JSON lines in which a stand-in notes what it did.
+"""A file of JSON lines in which a fake upstream or client records its actions.
 
-Each line is written by one call, so that a process killed at any moment leaves whole
-lines behind, and a run is noted before its answer goes out.
+Each line is written by one system call, so that a process which is killed at any moment
+leaves only complete lines. An action is recorded before its answer is sent.
 """
 
 import json
@@ -12,14 +12,14 @@
 
 
 class Journal:
-    """The journal of one process; without a path nothing is written."""
+    """The journal of one process; with an empty path nothing is written."""
 
     def __init__(self, path: str) -> None:
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT
         self._file = os.open(path, flags, 0o644) if path else None
 
     def write(self, kind: str, **fields: Any) -> None:
-        """Note one event."""
+        """Write one event."""
         if self._file is None:
             return
         line = json.dumps({"kind": kind, **fields}) + "\n"
@@ -27,7 +27,7 @@
 
 
 def read(path: pathlib.Path, kind: str) -> Iterator[dict[str, Any]]:
-    """Yield the events of a kind; a file that does not exist has none."""
+    """Yield the events of a kind; none if the file does not exist."""
     if not path.exists():
         return
     for line in path.read_text().splitlines():
--- a/tests/fakes/request_path.py
+++ b/tests/fakes/request_path.py
@@ -1,4 +1,4 @@
-"""Gateways' request paths, several before one state group, and ways to stop them."""
+"""Request paths of several gateways with one state group, and ways to suspend them."""
 
 from typing import Any
 
@@ -13,18 +13,18 @@
 HEADERS = {"X-Caller": "desk"}
 
 
-class Stoppable:
-    """One gateway's way to the state group, where the gateway can be stopped.
+class StoppableStateClient:
+    """One gateway's client of the state group, at which the gateway can be stopped.
 
-    A process that is killed and one that is stopped look alike from outside: nothing
-    more comes from them. So a stop is a wait that ends only when a test says so.
+    From outside, a killed process and a suspended one look the same: neither sends
+    anything any more. So a stop is a wait that ends when the test resumes the gateway.
     """
 
     def __init__(self, group: gateway_parts.StateGroup) -> None:
         self._group = group
         self.stops_before: type | None = None
         self.stops_after: type | None = None
-        self.woken = eventlet.event.Event()
+        self.resumed = eventlet.event.Event()
         self.is_stopped = False
 
     def submit(self, command: object, timeout: float = 5.0) -> Any:
@@ -38,17 +38,17 @@
     def query(self, query: object, timeout: float = 5.0) -> Any:
         return self._group.query(query, timeout)
 
-    def wake(self) -> None:
-        """Let a stopped gateway go on; it does not stop again."""
+    def resume(self) -> None:
+        """Resume the gateway if it is stopped, and let it not stop again."""
         self.stops_before = self.stops_after = None
         if self.is_stopped:
             self.is_stopped = False
-            self.woken.send(None)
-            self.woken = eventlet.event.Event()
+            self.resumed.send(None)
+            self.resumed = eventlet.event.Event()
 
     def _stop(self) -> None:
         self.is_stopped = True
-        self.woken.wait()
+        self.resumed.wait()
 
 
 class Gateway:
@@ -63,7 +63,7 @@
     ) -> None:
         settings = gateway_parts.settings(process_id, **requests)
         self.bundles = gateway_parts.Bundles()
-        self.state = Stoppable(group)
+        self.state = StoppableStateClient(group)
         self.dispatcher = dispatch.RequestDispatcher(settings, self.bundles, registry)
         self.claims = claims.Claims(settings, self.state)
         self.edge = edge.Edge(options.LimitOptions(), {})
@@ -80,7 +80,7 @@
     def send(
         self, method: str, target: str, body: Any = b"", **headers: str
     ) -> wsgi.Pending:
-        """Start a request; underscores in the headers' names stand for hyphens."""
+        """Send a request; underscores in header names are replaced by hyphens."""
         given = {name.replace("_", "-"): value for name, value in headers.items()}
         return wsgi.send(self.edge, method, target, body, HEADERS | given)
 
--- a/tests/fakes/schedule.py
+++ b/tests/fakes/schedule.py
@@ -1,7 +1,7 @@
-"""A stand-in for the schedule application: crew windows and their booking.
+"""A fake of the schedule application: crew windows and their booking.
 
-A lookup may be repeated; a booking may not. Each booking that was carried out is noted
-in the journal before its answer goes out, so that one which ran twice is seen there.
+Lookups are idempotent, bookings are not. Each booking is written to the journal before
+its answer is sent, so that a booking which ran twice is visible there.
 """
 
 from bilberrydrum import runtime
--- a/tests/fakes/server.py
+++ b/tests/fakes/server.py
@@ -1,4 +1,4 @@
-"""A small HTTP server for the stand-ins: routes, JSON bodies and event streams."""
+"""A small HTTP server for fake upstreams: routes, JSON bodies and event streams."""
 
 import json
 import re
@@ -36,7 +36,7 @@
     query: dict[str, str]
     headers: dict[str, str]
     body: bytes
-    # Parts of the path that the route names.
+    # The named parts of the path, by their name in the route's pattern.
     parts: dict[str, str]
 
     def json(self) -> Any:
@@ -46,7 +46,7 @@
 
 @attrs.frozen
 class Answer:
-    """One answer: a JSON value, bytes, or an iterator of byte strings."""
+    """One answer, with a JSON value, bytes, or an iterator of events as its body."""
 
     status: int = 200
     value: Any = None
@@ -59,13 +59,13 @@
 
 
 class Server:
-    """Routes of one stand-in."""
+    """HTTP server of one fake upstream."""
 
     def __init__(self) -> None:
         self._routes: list[tuple[str, re.Pattern[str], Handler]] = []
 
     def add(self, method: str, pattern: str, handler: Handler) -> None:
-        """Serve a method and a path; ``{name}`` in it takes one part of the path."""
+        """Add a route; ``{name}`` in the pattern matches one part of the path."""
         expression = re.sub(r"\{(\w+)\}", r"(?P<\1>[^/]+)", pattern)
         self._routes.append((method, re.compile(expression), handler))
 
@@ -79,7 +79,7 @@
             max_size=2000,
             keepalive=True,
             debug=False,
-            # Each event of a stream goes out at once, not with 4096 bytes of others.
+            # Each event of a stream is sent at once, not buffered up to 4096 bytes.
             minimum_chunk_size=1,
         )
 
@@ -125,11 +125,11 @@
                 return handler(request)
             except (KeyError, ValueError, TypeError) as error:
                 return Answer(400, {"error": repr(error)})
-        return Answer(404, {"error": f"no {method} {path}"})
+        return Answer(404, {"error": f"no route for {method} {path}"})
 
 
 def on_terminate(action: Callable[[], None]) -> None:
-    """Run `action` in a task of its own once, when SIGTERM arrives."""
+    """Run `action` once, in a task of its own, when SIGTERM arrives."""
 
     def handle(_number: int, _frame: object) -> None:
         signal.signal(signal.SIGTERM, signal.SIG_IGN)
--- a/tests/path_support.py
+++ b/tests/path_support.py
@@ -1,7 +1,7 @@
-"""A small deployment as separate processes, for tests of the whole path.
+"""A small deployment of separate processes, for tests of the complete path.
 
-Nothing here waits for a fixed time or measures one: each step waits for a condition,
-with a deadline that is far beyond what a loaded machine needs.
+No step waits for a fixed time or measures one. Each waits for a condition, with a
+timeout that is far longer than even a loaded machine needs.
 """
 
 import pathlib
@@ -17,7 +17,8 @@
 from misc.demos import andes
 from tests.fakes import journal, samples
 
-# Far beyond what any step takes, so that a loaded machine changes no verdict.
+# Timeout of each step, in seconds. It is far longer than any step takes, so that tests
+# don't fail on a loaded machine.
 DEADLINE = 90.0
 
 
@@ -25,7 +26,7 @@
     """A small deployment with a bundle in force."""
 
     sizes = andes.Sizes(n_engines=2, n_schedules=1, n_scorers=1)
-    # Where the trainer's next batch begins.
+    # Cursor at which the trainer's next batch begins.
     cursor = 0
 
     @classmethod
@@ -63,19 +64,19 @@
                 f"{error}\n{self.processes.describe()}"
             ) from None
 
-    def until_answered(self, ask):
-        """Ask until there is an answer other than to come back; return it."""
+    def retry_until_answered(self, send):
+        """Repeat a request until its answer is not a 503; return the answer."""
         answers = []
 
         def is_answered():
-            answers.append(ask())
+            answers.append(send())
             return answers[-1] is not None and answers[-1].status != 503
 
         self.wait_for(is_answered, "an answer")
         return answers[-1]
 
     def assert_look_up(self, status, gateway, caller):
-        """Check what a lookup comes to once the gateway holds a bundle."""
+        """Check the status of a lookup, once the gateway has a bundle."""
         statuses = []
 
         def is_decided():
@@ -86,18 +87,18 @@
         self.assertEqual(status, statuses[-1])
 
     def assert_booked(self, gateway, booking_id):
-        """Book until there is an answer, and return it."""
-        answer = self.until_answered(lambda: self.book(gateway, booking_id))
+        """Repeat a booking until it is answered; check and return the answer."""
+        answer = self.retry_until_answered(lambda: self.book(gateway, booking_id))
         self.assertEqual(201, answer.status)
         self.assertEqual(booking_id, answer.json()["booking_id"])
         self.assertEqual(1, self.n_runs(booking_id))
         return answer
 
-    def book(self, gateway, booking_id, patience=30):
-        """Book once; the answer, None if there was none."""
+    def book(self, gateway, booking_id, timeout_seconds=30):
+        """Send a booking once; return its answer, or None if there was none."""
         headers = {
             "X-Caller": andes.CALLER,
-            "X-Timeout-Seconds": str(patience),
+            "X-Timeout-Seconds": str(timeout_seconds),
             "Idempotency-Key": booking_id,
         }
         body = {"booking_id": booking_id, "crew": "a", "window": "w"}
@@ -106,11 +107,11 @@
         )
 
     def next_version(self):
-        """Return the version that the next bundle must have."""
+        """Return the version number that the next bundle must have."""
         return self.andes.tool("bundle", "list")["in_force"] + 1
 
     def is_listed(self, upstream):
-        """Tell whether every gateway may use an upstream."""
+        """Return whether each gateway lists an upstream as available."""
         headers = self.andes.operator_headers()
         for gateway in self.gateways:
             answer = self.andes.ask(gateway, "GET", "/v1/upstreams", headers)
@@ -123,7 +124,7 @@
         return True
 
     def slow_down_bookings(self, seconds):
-        """Let the application answer bookings so long after it carried them out."""
+        """Make the application delay its answers to bookings by `seconds`."""
         self.andes.control("schedule-1", slow_changes_seconds=seconds)
 
     def n_runs(self, booking_id):
@@ -131,7 +132,7 @@
         return sum(1 for event in events if event["booking_id"] == booking_id)
 
     def read_group(self, name, prompt, n_slots=6, gateway=""):
-        """Ask for a group, read it whole, and return the account of it."""
+        """Request a group, read all its samples, and return the account of them."""
         max_tokens = 24
         gateway = gateway or self.gateways[0]
         trainer = f"/v1/trainers/{andes.TRAINER}"
@@ -140,7 +141,7 @@
         account.ask(group)
 
         def post(path, value):
-            return self.until_answered(
+            return self.retry_until_answered(
                 lambda: self.andes.ask(gateway, "POST", trainer + path, {}, value, 10)
             )
 
@@ -157,8 +158,8 @@
                 }
             ]
         }
-        asked = post("/groups", value)
-        self.assertEqual(202, asked.status)
+        accepted = post("/groups", value)
+        self.assertEqual(202, accepted.status)
         batches = []
 
         def read(n_samples, wait_seconds):
@@ -168,22 +169,22 @@
             )
             return self.andes.ask(gateway, "GET", path, {}, timeout=10)
 
-        def is_whole():
+        def is_complete():
             answer = read(n_slots, 2)
             if answer is not None and answer.status == 200:
                 batches.append(answer.json())
                 return len(batches[-1]["samples"]) == n_slots
             return False
 
-        self.wait_for(is_whole, f"the samples of {name}")
+        self.wait_for(is_complete, f"the samples of {name}")
         for sample in batches[-1]["samples"]:
             account.take(sample, published_version=0)
         type(self).cursor = batches[-1]["next_cursor"]
-        # Asking from the next cursor on is what acknowledges the batch.
+        # Reading from the next cursor acknowledges the batch.
         self.assertEqual("batch-not-ready", read(1, 0).json()["reason"])
         return account
 
-    def assert_whole(self, account):
+    def assert_complete(self, account):
         report = account.report()
         self.assertEqual([], report["examples"])
         self.assertEqual(0, report["n_untraceable"])
--- a/tests/test_http_callers.py
+++ b/tests/test_http_callers.py
@@ -94,7 +94,7 @@
             self.second.claims.resolve_due()
             self.assertEqual(self.second.book().wait().reason, "outcome-unknown")
             self.first.state.stops_after = None
-            self.first.state.woken.send(None)
+            self.first.state.resumed.send(None)
             late = pending.wait()
             self.assertEqual(self.n_bookings, 0)
             self.assertEqual(late.outcome, "unknown")
@@ -133,7 +133,7 @@
         self.registry.upstreams["a1"] = self.application.upstream("a1")
         eventlet.sleep(0.05)
         self.first.state.stops_before = None
-        self.first.state.woken.send(None)
+        self.first.state.resumed.send(None)
         self.assertEqual(pending.wait().outcome, "not-run")
         self.assertEqual(self.n_bookings, 0)
 
--- a/tests/test_path_losses.py
+++ b/tests/test_path_losses.py
@@ -1,4 +1,4 @@
-"""Lost hosts, several failures at once, and restarts long after, as real processes."""
+"""Lost hosts, concurrent failures and late restarts, with real processes."""
 
 import shutil
 import uuid
@@ -13,13 +13,13 @@
 
 
 class LossesTest(path_support.PathCase):
-    """One deployment for all tests; each mends what it breaks."""
+    """Tests share one deployment, and each one repairs what it breaks."""
 
     sizes = andes.Sizes(n_engines=3, n_schedules=1, n_scorers=2)
     n_bundles = 70
 
     def has_vote(self, process_id, replica_id):
-        """Tell whether a replica made after `replica_id` votes for this process."""
+        """Return whether a newer replica than `replica_id` of this process may vote."""
         members = self.andes.tool("state", "status")["members"]
         return any(
             member["process_id"] == process_id
@@ -32,16 +32,17 @@
         members = self.andes.tool("state", "status")["members"]
         return next(m["replica_id"] for m in members if m["process_id"] == process_id)
 
-    def test_second_host_lost_after_a_repair_takes_nothing_with_it(self):
-        """Booking, samples, cursor and bundle are still known after two losses.
+    def test_no_data_is_lost_with_a_second_host_after_a_repair(self):
+        """Losing a second host after a repair must not lose any accepted data.
 
-        A host comes back without its disk and is repaired as a new replica. Then a
-        host that had been there from the start is lost for good, disk and all. What
-        was accepted before is now held by the repaired replica and one other only.
+        A host is restarted without its disk and is repaired as a new replica. Then one
+        of the initial hosts is lost permanently, with its disk. Only the repaired
+        replica and one other now hold what was accepted before: the booking, the
+        samples, the cursor and the bundle.
         """
         booking_id = uuid.uuid4().hex
         self.assert_booked(self.gateways[0], booking_id)
-        self.assert_whole(self.read_group("l1", "Outage before"))
+        self.assert_complete(self.read_group("l1", "Outage before"))
         leader = self.andes.leader()
         repaired, rest = (name for name in self.gateways if name != leader)
         before = self.replica_id(repaired)
@@ -60,25 +61,26 @@
         answer = self.assert_booked(repaired, booking_id)
         self.assertEqual("true", answer.headers["Idempotency-Replayed"])
         self.assertEqual(in_force + 1, self.next_version())
-        self.assert_whole(self.read_group("l2", "Outage after", gateway=repaired))
+        self.assert_complete(self.read_group("l2", "Outage after", gateway=repaired))
         self.roll(in_force + 1, [andes.CALLER])
         self.assert_look_up(403, repaired, "visitor")
         self.processes.restart(leader)
         self.wait_for(self.is_served, f"{leader} is back")
 
     def test_gateway_restarted_after_hundreds_of_changes_serves_the_newest(self):
-        """The newest bundle holds, and bookings and samples go on where they were.
+        """A restarted gateway must not act on a bundle that was superseded.
 
-        A gateway is killed; meanwhile bundles are submitted, signed off and rolled,
-        three changes each. Each lets in one caller of its own. Once the gateway
-        answers again, it acts on the newest bundle and never on one in between. A
-        booking made before is not made again, and the trainer's cursor is kept.
+        While a gateway is down, many bundles are submitted, signed off and rolled,
+        which are three changes each. Each bundle allows one caller that no other one
+        allows. After its restart the gateway acts only on the newest bundle and never
+        on one in between. An earlier booking is not repeated, and the trainer's cursor
+        is kept.
         """
         leader = self.andes.leader()
         killed = next(name for name in self.gateways if name != leader)
         booking_id = uuid.uuid4().hex
         self.assert_booked(killed, booking_id)
-        self.assert_whole(self.read_group("r1", "Outage before", gateway=killed))
+        self.assert_complete(self.read_group("r1", "Outage before", gateway=killed))
         self.processes[killed].kill()
         first = self.next_version()
         last = first + self.n_bundles - 1
@@ -98,14 +100,14 @@
             return self.look_up(killed, newest) == 200
 
         self.wait_for(is_back, f"{killed} serves {newest}")
-        # 0: it does not listen yet; 503: it holds no bundle yet.
+        # 0: the gateway does not listen yet; 503: it has no bundle yet.
         self.assertLessEqual(statuses, {0, 403, 503})
         answer = self.assert_booked(killed, booking_id)
         self.assertEqual("true", answer.headers["Idempotency-Replayed"])
-        self.assert_whole(self.read_group("r2", "Outage after", gateway=killed))
+        self.assert_complete(self.read_group("r2", "Outage after", gateway=killed))
 
     def change(self, gateway, version):
-        """Submit, sign off and roll one more bundle, as the tool would."""
+        """Submit, sign off and roll one more bundle, as the CLI does."""
         path = self.andes.write_bundle(version, [andes.CALLER, f"desk-{version}"])
         content = {"content": path.read_text(), "file_name": path.name}
         headers = self.andes.operator_headers()
@@ -124,16 +126,16 @@
     def n_steps(self):
         return len(list(journal.read(self.folder / "trainer.journal", "step")))
 
-    def published(self):
+    def n_published(self):
         return len(list(journal.read(self.folder / "trainer.journal", "published")))
 
-    def test_failures_together_lose_and_double_nothing(self):
-        """Trainer and planners end with everything, once, although much fails at once.
+    def test_concurrent_failures_lose_and_duplicate_nothing(self):
+        """Concurrent failures must not lose or duplicate samples and bookings.
 
         The state leader's process is killed while two engines crash in mid-stream and
-        swaps fail on the third. The trainer and the planners go on at the other
-        gateways, and a bundle is rolled, on which the dead gateway acts once it is
-        back.
+        weight swaps fail on the third. The trainer and the planners continue at the
+        other gateways. Meanwhile a bundle is rolled, and the killed gateway acts on it
+        after its restart.
         """
         self.andes.start_planner("--pause-seconds", "0.1")
         trainer = self.andes.start_trainer(
@@ -156,12 +158,12 @@
         self.wait_for(self.is_served, f"{killed} is back")
         for gateway in self.gateways:
             self.assert_look_up(200, gateway, "newcomer")
-        self.wait_for(lambda: self.published() >= 3, "three versions published")
+        self.wait_for(lambda: self.n_published() >= 3, "three versions published")
         for client in (trainer, self.processes["planner"]):
             code = client.terminate(path_support.DEADLINE)
             self.assertEqual(0, code, client.log_tail())
         breaches = figures.find_breaches(
-            # How many steps there were depends on the machine's speed.
+            # The number of steps depends on the speed of the machine.
             {
                 **figures.read_report(self.folder, "trainer"),
                 "n_steps": figures.MIN_STEPS,
--- a/tests/test_requests_claims.py
+++ b/tests/test_requests_claims.py
@@ -1,4 +1,4 @@
-"""Claims in the replicated state, and the keys they are for."""
+"""Claims in the replicated state, and idempotency keys."""
 
 import random
 import unittest
@@ -17,7 +17,7 @@
 
 
 class Log:
-    """Applies commands at times that are told."""
+    """Applies commands to a state, at times chosen by the test."""
 
     def __init__(self):
         self.state = machine.State()
@@ -65,7 +65,7 @@
         ("1764692651", None),
         ("176469265-permit", None),
         ("permit-1764692651-x", None),
-        # A version 4 UUID carries no time, whatever its digits are.
+        # A version 4 UUID contains no time.
         ("019ae0a0-1f3c-4abc-8def-0123456789ab", None),
         ("k", None),
     )
@@ -90,7 +90,7 @@
     def setUp(self):
         self.log = Log()
 
-    def test_first_claim_wins_and_its_repetition_is_the_same(self):
+    def test_first_claim_wins_and_may_be_repeated(self):
         self.assertEqual(self.log.claim(claim_id="1"), claims_state.CLAIM_GRANTED)
         self.assertEqual(self.log.claim(claim_id="1"), claims_state.CLAIM_GRANTED)
         self.assertEqual(self.log.claim(claim_id="2"), claims_state.CLAIM_EXISTS)
@@ -100,15 +100,17 @@
         )
 
     def test_repeated_claim_after_its_end_is_not_granted(self):
-        """A claim command is delivered late, after its request ended as unknown.
+        """A delayed claim command must not be granted after the claim was finished.
 
-        Granted again, its holder would send a request that is held to be over.
+        The command is delivered again after the outcome was recorded as unknown. If it
+        were granted, the holder would send a request whose outcome callers already
+        received as unknown.
         """
         self.log.claim()
         self.log.finish(result=None)
         self.assertEqual(self.log.claim(), claims_state.CLAIM_EXISTS)
 
-    def test_only_the_holder_frees_or_ends_its_claim(self):
+    def test_only_the_holder_releases_or_finishes_its_claim(self):
         self.log.claim(claim_id="1")
         self.log.release(claim_id="2")
         self.log.finish(claim_id="2")
@@ -119,14 +121,15 @@
         for _ in range(2):
             self.assertEqual(self.log.release(), claims_state.CLAIM_GRANTED)
         self.assertEqual(self.log.claim(claim_id="2"), claims_state.CLAIM_GRANTED)
-        # The first holder's release is delivered again, late.
+        # The first holder's release command is delivered once more, with a delay.
         self.log.release(claim_id="1")
         self.assertEqual(self.log.find().claim.claim_id, "2")
 
-    def test_unknown_stays_when_the_holder_gives_up(self):
-        """A caller was told "unknown"; then the holder finds it never sent.
+    def test_unknown_stays_when_the_holder_releases_its_claim(self):
+        """A key must not be released after a caller received "unknown" for it.
 
-        The key keeps its answer: freed, it could run after all.
+        The holder then finds that it never sent the request and releases its claim. If
+        the key became free, a retry could run the request after all.
         """
         self.log.claim()
         self.log.finish(result=None)
@@ -162,11 +165,11 @@
         ("UUID of version 7", uuid_7(NOW)),
         ("ahead of the state's time", f"{int(NOW) + 3000}-permit-17"),
     )
-    def test_key_older_than_claims_are_kept_never_runs_again(self, name, key):
-        """A booking ran; its claim was forgotten; its caller still comes back.
+    def test_key_older_than_the_claim_lifetime_never_runs_again(self, name, key):
+        """A booking must not run twice if its caller retries after the claim expired.
 
-        It was gone for longer than claims are kept. The key is refused, whatever
-        lifetime the gateway that gets it has in its settings.
+        The claim is removed after its lifetime, and then the caller retries. The key is
+        refused, whatever claim lifetime is configured at the gateway that receives it.
         """
         self.assertEqual(self.log.claim(key=key), claims_state.CLAIM_GRANTED, name)
         self.log.finish(key=key)
@@ -180,10 +183,11 @@
 
     @tools.params(("into the running group", True), ("after the group was lost", False))
     def test_key_claimed_after_the_back_up_does_not_run_again(self, name, has_current):
-        """A back-up is restored; a key was claimed after it was made.
+        """A restored backup must not let requests run that it does not know.
 
-        The back-up knows nothing of the key. It is found in the group that still
-        stands, or refused as older than what the restored state can know.
+        A key was claimed after the backup was made, so the backup does not contain it.
+        The claim is taken from the running group. If the group was lost, the key is
+        refused because it was created before the restore.
         """
         key = f"{int(NOW)}-a"
         self.log.claim(key="before")
@@ -217,10 +221,10 @@
         self.assertEqual(len(self.log.section.claims_by_name), 2)
 
     def test_digests_are_bounded_and_then_keys_without_a_time_are_refused(self):
-        """So many keys without a time were used that no more can be remembered.
+        """The memory for keys without a time is bounded, and no key may run twice.
 
-        Forgetting some would let them run again, so new ones of their kind are
-        refused; keys that carry a time go on.
+        Removing a digest would let its key run again. So once the bound is reached, new
+        keys without a time are refused; keys that contain a time are still accepted.
         """
         section = self.log.section
         section.forgotten.update(
@@ -233,10 +237,11 @@
     @hypothesis.settings(derandomize=True, max_examples=200, deadline=None)
     @hypothesis.given(strategies.integers(0, 2**32))
     def test_any_order_of_commands_grants_a_key_once(self, seed):
-        """Claims, ends, releases and time in any order, commands repeated and late.
+        """A key must not be granted twice, in whatever order commands are applied.
 
-        Each grant is a right to send. A key gets a second one only after the holder of
-        the first gave it back.
+        Claims are made, finished, released and expire in random order, and commands
+        are repeated and delayed. Each grant is a right to send the request. A key is
+        granted to another holder only after the first one released it.
         """
         rng = random.Random(seed)
         log = Log()
@@ -251,7 +256,7 @@
             elif step == 1:
                 log.finish(key, claim_id, rng.choice([RESULT, None]))
             elif step == 2 and sent.get(key) == claim_id:
-                # Only a holder that has not sent gives its claim back.
+                # Only a holder that has not sent the request releases its claim.
                 if log.release(key, claim_id) == claims_state.CLAIM_GRANTED:
                     del sent[key]
             else:
--- a/tests/test_requests_dispatch.py
+++ b/tests/test_requests_dispatch.py
@@ -105,13 +105,13 @@
         for _ in range(60):
             self.dispatcher.budget.first_attempt()
             self.dispatcher.call_application(application_call())
-        self.assertEqual(len(bad.received), health.EJECT_AFTER)
+        self.assertEqual(len(bad.received), health.EJECT_AFTER_FAILURES)
         bad.script = scripted.serve(scripted.answer)
         record = self.dispatcher._router.health._records_by_id["a1"]
         record.ejected_until = clock.now()
         for _ in range(20):
             self.dispatcher.call_application(application_call())
-        self.assertGreater(len(bad.received), health.EJECT_AFTER)
+        self.assertGreater(len(bad.received), health.EJECT_AFTER_FAILURES)
         self.assertEqual(self.dispatcher._router.health._records_by_id, {})
 
     def test_callers_without_patience_do_not_have_a_service_ejected(self):
@@ -125,7 +125,7 @@
             connection.sendall(scripted.answer(received))
 
         self.application("a1", slow)
-        for _ in range(2 * health.EJECT_AFTER):
+        for _ in range(2 * health.EJECT_AFTER_FAILURES):
             deadline = clock.now() + 0.005
             self.dispatcher.call_application(application_call(deadline=deadline))
         self.assertEqual(self.dispatcher._router.health._records_by_id, {})
@@ -142,7 +142,7 @@
         self.application("a1", scripted.serve(scripted.answer))
         self.dispatcher.call_application(application_call())
         self.fakes["a1"].script = lambda connection, received: eventlet.sleep(30)
-        with unittest.mock.patch.object(recovery, "FAIR_SECONDS", 0.05):
+        with unittest.mock.patch.object(recovery, "MIN_ATTEMPT_TIMEOUT_SECONDS", 0.05):
             task = eventlet.spawn(
                 self.dispatcher.call_application,
                 application_call(
--- a/tests/test_requests_schedules.py
+++ b/tests/test_requests_schedules.py
@@ -1,4 +1,4 @@
-"""Random schedules of stops, wakes, lost majorities and failing services."""
+"""Random schedules of suspended gateways, lost majorities and failing services."""
 
 import collections
 import random
@@ -17,7 +17,7 @@
 
 
 class Schedule:
-    """Three gateways, one service, and callers that book with two keys."""
+    """Three gateways, one service, and callers that send bookings with two keys."""
 
     def __init__(self, seed, clock):
         self.rng = random.Random(seed)
@@ -32,17 +32,17 @@
             request_path.Gateway(f"g{i}", self.group, self.registry) for i in range(3)
         ]
         self.n_sent = collections.Counter()
-        self.told_unknown = set()
+        self.reported_unknown = set()
         self.pending = []
-        self.wrong = []
+        self.violations = []
         self.n_answers = collections.Counter()
 
     def serve(self, connection, received):
         key = received.headers["idempotency-key"]
         self.n_sent[key] += 1
         trace.note(self.clock.now, key, "served")
-        if key in self.told_unknown:
-            self.wrong.append((key, "sent after it was called unknown"))
+        if key in self.reported_unknown:
+            self.violations.append((key, "sent after a caller received unknown"))
         answer = scripted.answer(received, b"booked", "201 Created")
         mode = self.rng.randrange(4)
         if mode == 0:
@@ -62,26 +62,26 @@
         self.pending.append(pending)
 
     def check(self, key, answer):
-        """Look at an answer in the moment it is given."""
+        """Check an answer at the moment when the caller receives it."""
         outcome = "completed"
         if answer.status != 201:
             outcome = answer.outcome
         self.n_answers[outcome] += 1
         trace.note(self.clock.now, key, answer.status, outcome)
         if outcome != "completed" and answer.reason == "outcome-unknown":
-            self.told_unknown.add(key)
+            self.reported_unknown.add(key)
         if outcome == "not-run" and self.n_sent[key]:
-            self.wrong.append((key, answer.reason))
+            self.violations.append((key, answer.reason))
         if outcome == "completed" and not self.n_sent[key]:
-            self.wrong.append((key, "answered without a run"))
+            self.violations.append((key, "answered without a run"))
 
-    def stop_gateway(self):
+    def suspend_gateway(self):
         how, command = self.rng.choice(list(request_path.STOPS.values()))
         setattr(self.rng.choice(self.gateways).state, how, command)
 
-    def wake_gateways(self):
+    def resume_gateways(self):
         for gateway in self.gateways:
-            gateway.state.wake()
+            gateway.state.resume()
 
     def hang_up(self):
         if self.pending:
@@ -91,7 +91,7 @@
         self.group.has_majority = not self.group.has_majority
 
     def move_service(self):
-        """Let the service be gone, refuse connections, or be there."""
+        """Make the service unregistered, unreachable or available, at random."""
         upstream = self.service.upstream("a1")
         gone = attrs.evolve(upstream, address="127.0.0.1:1")
         choices = [{}, {"a1": gone}, {"a1": upstream}, {"a1": upstream}]
@@ -102,8 +102,8 @@
 
     def run(self):
         steps = [self.book] * 5 + [
-            self.stop_gateway,
-            self.wake_gateways,
+            self.suspend_gateway,
+            self.resume_gateways,
             self.hang_up,
             self.lose_majority,
             self.move_service,
@@ -114,14 +114,14 @@
             self.rng.choice(steps)()
             self.settle()
         self.group.has_majority = True
-        # Those that are stopped are given up on before they go on.
+        # The claims of suspended gateways are resolved before these are resumed.
         for _ in range(3):
             for _ in KEYS:
                 self.book()
             self.settle()
             self.clock.advance(20.0)
         self.registry.upstreams = {"a1": self.service.upstream("a1")}
-        self.wake_gateways()
+        self.resume_gateways()
         for _ in range(12):
             self.clock.advance(5.0)
             self.settle()
@@ -137,15 +137,16 @@
 
 
 def run_schedule(seed):
-    """Run one schedule, and check what came of it."""
-    # From a fixed time: sums of seconds round otherwise from another.
+    """Run one schedule and check its answers."""
+    # The clock starts at a fixed time, as sums of seconds are rounded differently
+    # from another start.
     with helpers.manual_clock() as clock, helpers.tasks_in_order():
         schedule = Schedule(seed, clock)
         try:
             schedule.run()
         finally:
             schedule.stop()
-    assert schedule.wrong == [], schedule.wrong
+    assert schedule.violations == [], schedule.violations
     assert max(schedule.n_sent.values(), default=0) <= 1, schedule.n_sent
     assert schedule.n_answers.total() > 0
 
@@ -154,11 +155,13 @@
     @hypothesis.settings(derandomize=True, max_examples=12, deadline=None)
     @hypothesis.given(strategies.integers(0, 2**32))
     def test_any_schedule_sends_a_key_once_and_says_not_run_only_if_true(self, seed):
-        """Gateways stop and wake at any step of a booking; callers ask all of them.
+        """A booking must not run twice, nor be reported as not run if it was sent.
 
-        Majorities are lost, the service fails, callers hang up, time passes. A key is
-        sent once at most, and never after it was called unknown; whoever is told
-        not-run is told so before it was sent.
+        Gateways are suspended and resumed at any step of a booking, and callers retry
+        at all of them. Majorities are lost, the service fails, callers hang up, time
+        passes. The request of a key is sent at most once, and never after a caller
+        received "unknown" for it. An answer "not-run" is given only if the request was
+        not sent before.
         """
         with schedules_support.played_by(__name__, seed):
             run_schedule(seed)
