--- a/bilberrydrum/requests/outgoing_requests.py
+++ b/bilberrydrum/requests/outgoing_requests.py
@@ -49,7 +49,7 @@
     # be sent, or None.
     find_refusal: Callable[[], reasons.Reason | None]
     # Returns whether the client has stopped waiting for the answer.
-    is_client_gone: Callable[[], bool] = model.never
+    is_client_gone: Callable[[], bool] = model.never_gone
     # Time at which the first byte may have been sent, in seconds of `clock.now`; None:
     # no byte was sent.
     sent_at: float | None = None
