--- a/bilberrydrum/fleet/__init__.py
+++ b/bilberrydrum/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the control group decides for all gateways: policy, upstreams, versions."""
+"""The control group: traffic policy, upstream registry and announced versions."""
--- a/bilberrydrum/fleet/accounts.py
+++ b/bilberrydrum/fleet/accounts.py
@@ -1,7 +1,7 @@
-"""Client accounts: who a request comes from, by the key that it carries.
+"""Client accounts, which identify the sender of a request by its API key.
 
-Only digests of keys are kept here and told to other processes: whoever reads a
-process's memory, a log or a stack trace finds none that can be sent.
+Processes keep and exchange only digests of keys, so a process's memory, a log or a
+stack trace reveals no key that could be used in a request.
 """
 
 import hashlib
@@ -10,16 +10,16 @@
 
 import attrs
 
-# Sixteen bytes of SHA-256: none can be found that leads to a given digest, and 10,000
-# accounts with two keys each take 0.3 MB in a policy.
+# Sixteen bytes of SHA-256 make it infeasible to find a key for a given digest, and
+# 10,000 accounts with two keys each take 0.3 MB in a policy.
 _DIGEST_BYTES: Final = 16
 
 
 def digest_of(key: str) -> bytes:
     """Return the digest by which a key is looked up.
 
-    A look-up by digest also takes the same time for all wrong keys: how much of a key
-    was right does not show.
+    A lookup by digest also takes the same time for all wrong keys, so its duration does
+    not reveal how many characters of a guessed key are right.
     """
     return hashlib.sha256(key.encode("utf-8", "replace")).digest()[:_DIGEST_BYTES]
 
@@ -33,14 +33,14 @@
     """A client account."""
 
     name: str
-    # Digests of the keys that stand for it; several while a key is being exchanged.
+    # Digests of the account's keys; several while a key is being rotated.
     key_digests: tuple[bytes, ...]
-    # 0 is the most urgent; goes before the priority of routes.
+    # 0 is the most urgent. Requests are ordered by it first, then by route priority.
     priority: int = 0
 
 
 class AccountTable:
-    """A policy's accounts, by name and by their keys."""
+    """A policy's accounts, indexed by name and by key digest."""
 
     def __init__(self, accounts: Iterable[Account]) -> None:
         self.accounts_by_name = {each.name: each for each in accounts}
@@ -51,12 +51,12 @@
         }
 
     def find(self, key_digest: bytes) -> Account | None:
-        """Return the account that a key stands for; None: no account has it."""
+        """Return the account with this key digest, or None if there is none."""
         return self._accounts_by_digest.get(key_digest)
 
 
 def faults(accounts: Iterable[Account]) -> list[str]:
-    """Return all that is wrong with accounts of one policy."""
+    """Return all faults of the accounts of one policy."""
     found: list[str] = []
     names: set[str] = set()
     owners_by_digest: dict[bytes, str] = {}
@@ -64,7 +64,7 @@
         if not account.name.strip():
             found.append("an account has no name")
         elif not (account.name.isascii() and account.name.isprintable()):
-            # It goes into a header of each request that is sent on.
+            # The name is sent to upstreams in a header of each request.
             found.append(f"account {account.name!r}: not printable ASCII")
         if account.name in names:
             found.append(f"two accounts are named {account.name!r}")
--- a/bilberrydrum/fleet/changes.py
+++ b/bilberrydrum/fleet/changes.py
@@ -1,9 +1,10 @@
-"""What has changed between two states of the registry.
+"""Differences between two states of the registry.
 
 The registry grows with the fleet, and every load of weights, start and departure of an
-upstream changes one line of it. Sent whole to every process at each change, it was most
-of what the control group's leader sends: 1.4 MB/s to 93 processes at four changes a
-second. A process that has an earlier state gets the difference only.
+upstream changes one entry of it. When the complete registry was sent to every process
+at each change, it made up most of the traffic of the control group's leader: 1.4 MB/s
+to 93 processes at four changes a second. A process that has an earlier state therefore
+gets only the difference.
 """
 
 from collections.abc import Mapping
@@ -17,27 +18,32 @@
 @codec.register("fleet.registry-change")
 @attrs.frozen
 class RegistryChange:
-    """How one state of the registry becomes a later one."""
+    """The difference between a state of the registry and a later one."""
 
     # Indexes of the two states.
     base_index: int
     index: int
-    # Upstreams that are new or differ, and those that are gone.
+    # Upstreams that are new or differ.
     upstreams: tuple[model.FleetUpstream, ...]
+    # Upstreams that were removed.
     gone_ids: tuple[str, ...]
     versions_by_model: Mapping[str, int]
-    # None: as before.
+    # None means unchanged, here and in the next field.
     stores: tuple[model.Store, ...] | None = None
     founder_addresses: tuple[str, ...] | None = None
-    # It has each line that changed after the earlier state, as it is in the later one,
-    # so it leads there from any state between. False: made of these two states alone.
+    # Whether it holds every entry that changed after the earlier state, with its value
+    # in the later state. Such a change also applies to any state in between. False if
+    # it was made by comparing just the two states.
     is_cumulative: bool = False
 
 
-def changed(registry: model.Registry, change: RegistryChange) -> model.Registry | None:
-    """Return the registry after `change`; None if it does not lead on from here."""
-    # A push is made for what the last renewal named, which its answer has overtaken.
-    # Were it dropped, so would each push be until a renewal finds nothing new.
+def apply_change(
+    registry: model.Registry, change: RegistryChange
+) -> model.Registry | None:
+    """Return `registry` with `change` applied, or None if it does not apply to it."""
+    # A push is a difference from the index in the process's last renewal; the answer
+    # to that renewal may already have brought a later state. If such a push were
+    # dropped, every further push would be too, until a renewal finds nothing new.
     is_between = change.base_index <= registry.index < change.index
     if not (
         is_between if change.is_cumulative else registry.index == change.base_index
--- a/bilberrydrum/fleet/commands.py
+++ b/bilberrydrum/fleet/commands.py
@@ -1,8 +1,9 @@
-"""The control group's state: commands and what they change.
+"""The control group's replicated state and the commands that change it.
 
-Everything here must outlive any single process: an acknowledged policy, an upstream
-that said that it leaves, a named weight version. Plain renewals are not written down;
-the leader keeps them in memory (see `liveness`).
+Everything here must survive the loss of any single process: an acknowledged policy, an
+upstream's notice that it is leaving, an announced weight version. Announcements that
+only renew a registration are not written to the log; the leader keeps them in memory
+(see `liveness`).
 """
 
 from collections.abc import Iterable
@@ -16,32 +17,35 @@
 from bilberrydrum.state import machine
 
 SECTION: Final = "fleet"
-# An upstream that is gone is remembered this long, in seconds: announcements that were
-# held up on the way by a cut arrive some ten seconds late.
-FORMER_SECONDS: Final = 600.0
-# Time for a command to be committed before its caller is sent on to ask again.
+# How long a removed upstream is remembered, in seconds. Announcements that a network
+# partition has delayed arrive some ten seconds late.
+FORMER_RETENTION_SECONDS: Final = 600.0
+# Time for a command to be committed, in seconds. After it the caller is referred to the
+# leader that this replica knows, and retries there.
 COMMIT_SECONDS: Final = 3.0
 
 
 @codec.register("fleet.section")
 @attrs.define
 class Section:
-    """The whole state."""
+    """The complete state of the control group."""
 
     policy_index: int = 0
     policy: fleet_policy.Policy = attrs.field(factory=lambda: fleet_policy.Policy(0))
-    # The policy as it was submitted, for reading it back.
+    # The policy document as it was submitted, returned to those who read the policy.
     document: bytes = b""
     registry_index: int = 0
     upstreams_by_id: dict[str, model.FleetUpstream] = attrs.field(factory=dict)
-    # Upstreams that are not there any more, by the name that they gave themselves.
-    formers_by_announced_id: dict[str, incarnations.Former] = attrs.field(factory=dict)
+    # The last incarnation of upstreams that were removed, by the upstream's own id.
+    formers_by_announced_id: dict[str, incarnations.FormerIncarnation] = attrs.field(
+        factory=dict
+    )
     versions_by_model: dict[str, int] = attrs.field(factory=dict)
     stores_by_name: dict[str, model.Store] = attrs.field(factory=dict)
     founder_addresses: tuple[str, ...] = ()
 
     def registry(self) -> model.Registry:
-        """Return what gateways and stores are told."""
+        """Return the registry that is sent to gateways and stores."""
         return model.Registry(
             self.registry_index,
             tuple(self.upstreams_by_id.values()),
@@ -50,30 +54,31 @@
             self.founder_addresses,
         )
 
-    def holds_store(self, given: "PutStore") -> bool:
-        """Tell whether a store is noted as `given` has it."""
+    def is_store_recorded(self, given: "PutStore") -> bool:
+        """Return whether a store is recorded with the values of `given`."""
         known = self.stores_by_name.get(given.name)
         return known is not None and (
             (known.address, known.availability_zone)
             == (given.address, given.availability_zone)
         )
 
-    def judge(self, given: model.FleetUpstream) -> incarnations.Judgement:
-        """Return what an announcement is worth."""
+    def assess(self, given: model.FleetUpstream) -> incarnations.Assessment:
+        """Return whether to accept an announcement, and which upstreams it replaces."""
         former = self.formers_by_announced_id.get(given.announced_id)
         known = self.upstreams_by_id.get(given.upstream_id)
         others: Iterable[model.FleetUpstream] = self.upstreams_by_id.values()
         if known is not None and known.address == given.address:
-            # Whoever else had its name or address was taken out when it came: at each
-            # load of weights, nobody has to be looked for in the whole fleet.
+            # Upstreams with the same id or address were removed when this one was
+            # registered. So no announcement of a load of weights needs a search through
+            # the complete fleet.
             others = (known,)
-        return incarnations.judge(given, others, former)
+        return incarnations.assess(given, others, former)
 
-    def lacks_service(self, given: model.FleetUpstream) -> bool:
-        """Tell whether `given` names a service that the policy does not know.
+    def names_unknown_service(self, given: model.FleetUpstream) -> bool:
+        """Return whether `given` has a service that the policy does not define.
 
-        Taken in, it could take the place of an upstream that is in use. Without a
-        policy no service is known yet, and none is lacking.
+        Such an upstream must not be registered, as it could replace one that is in use.
+        Before the first policy no service is known, and all are accepted.
         """
         known = self.upstreams_by_id.get(given.upstream_id)
         if not self.policy.version or (
@@ -83,10 +88,10 @@
         return all(each.name != given.service for each in self.policy.services)
 
     def is_departure_known(self, announced_id: str, started_at_ms: int | None) -> bool:
-        """Tell whether a departure is noted already, or comes from an earlier start.
+        """Return whether a departure is recorded, or is of an earlier incarnation.
 
-        One that names no start concerns the incarnation that is known: what has said
-        that it leaves must be sent nothing.
+        A departure without a start time applies to the registered incarnation, as an
+        upstream that has announced its departure must not be sent any more requests.
         """
         starts = [
             each.started_at_ms
@@ -102,23 +107,25 @@
             incarnations.compare_starts(started_at_ms, each) < 0 for each in starts
         )
 
-    def take_out(self, upstream_id: str, time: float) -> None:
-        """Remove an upstream and remember its last word."""
+    def remove_upstream(self, upstream_id: str, time: float) -> None:
+        """Remove an upstream and remember its last announcement."""
         known = self.upstreams_by_id.pop(upstream_id, None)
         if known is not None:
-            self.formers_by_announced_id[known.announced_id] = incarnations.Former(
-                known.started_at_ms, known.sequence, False, time
+            self.formers_by_announced_id[known.announced_id] = (
+                incarnations.FormerIncarnation(
+                    known.started_at_ms, known.sequence, False, time
+                )
             )
 
-    def take_out_all(self, announced_id: str, time: float) -> None:
-        """Remove the upstreams of one name."""
+    def remove_all_named(self, announced_id: str, time: float) -> None:
+        """Remove all incarnations that are registered under one id."""
         for each in list(self.upstreams_by_id.values()):
             if each.announced_id == announced_id:
-                self.take_out(each.upstream_id, time)
+                self.remove_upstream(each.upstream_id, time)
 
-    def forget_formers(self, time: float) -> None:
-        """Forget upstreams whose words are not on their way any more."""
-        since = time - FORMER_SECONDS
+    def prune_formers(self, time: float) -> None:
+        """Forget upstreams whose last announcements can no longer be under way."""
+        since = time - FORMER_RETENTION_SECONDS
         self.formers_by_announced_id = {
             announced_id: former
             for announced_id, former in self.formers_by_announced_id.items()
@@ -135,7 +142,7 @@
 @codec.register("fleet.put-policy")
 @attrs.frozen
 class PutPolicy:
-    """Put a checked policy into force if its version is the highest."""
+    """Put a validated policy into force if its version is the highest."""
 
     policy: fleet_policy.Policy
     document: bytes
@@ -143,7 +150,7 @@
 
 @codec.register("fleet.policy-taken")
 @attrs.frozen
-class PolicyTaken:
+class PolicyInForce:
     """The version in force after a `PutPolicy`."""
 
     version: int
@@ -152,17 +159,17 @@
 @codec.register("fleet.put-upstream")
 @attrs.frozen
 class PutUpstream:
-    """Note a new upstream, or what has changed of a known one."""
+    """Register a new upstream, or update a registered one."""
 
     upstream: model.FleetUpstream
-    # The leader believes it, though another incarnation has replaced it.
+    # Whether the leader has confirmed it, though another incarnation replaced it.
     is_established: bool = False
 
 
 @codec.register("fleet.put-upstreams")
 @attrs.frozen
 class PutUpstreams:
-    """Note what has changed of several known upstreams."""
+    """Update several registered upstreams."""
 
     upstreams: tuple[model.FleetUpstream, ...]
 
@@ -170,33 +177,33 @@
 @codec.register("fleet.remove-upstreams")
 @attrs.frozen
 class RemoveUpstreams:
-    """Take out upstreams that were silent for too long; they may be heard again."""
+    """Remove upstreams that have not announced themselves; they may register again."""
 
     upstream_ids: tuple[str, ...]
 
 
 @codec.register("fleet.note-departure")
 @attrs.frozen
-class NoteDeparture:
-    """Note that an upstream has left for good."""
+class RecordDeparture:
+    """Record the permanent departure of an incarnation."""
 
     announced_id: str
-    # Start of the incarnation that left; None: the one that is known.
+    # Start of the incarnation that left; None for the registered one.
     started_at_ms: int | None = None
 
 
 @codec.register("fleet.mark-silent")
 @attrs.frozen
 class MarkSilent:
-    """Note that upstreams have not been heard from for long."""
+    """Mark upstreams whose announcements are overdue as silent."""
 
     upstream_ids: tuple[str, ...]
 
 
 @codec.register("fleet.name-version")
 @attrs.frozen
-class NameVersion:
-    """Note that a version of a model's weights is to be served."""
+class AnnounceVersion:
+    """Record that a version of a model's weights is to be served."""
 
     model: str
     version: int
@@ -205,7 +212,7 @@
 @codec.register("fleet.put-store")
 @attrs.frozen
 class PutStore:
-    """Note a process that can hold a replica of the stores' group."""
+    """Record a process that can hold a replica of the stores' group."""
 
     name: str
     address: str
@@ -214,8 +221,8 @@
 
 @codec.register("fleet.found-stores")
 @attrs.frozen
-class FoundStores:
-    """Choose, once and for all, the processes that start the stores' group."""
+class BootstrapStores:
+    """Set the initial members of the stores' group; only the first one is applied."""
 
     addresses: tuple[str, ...]
 
@@ -223,51 +230,52 @@
 @codec.register("fleet.retire-store")
 @attrs.frozen
 class RetireStore:
-    """Note that a store is to be emptied."""
+    """Record that a store is to be retired: its replica moves to another store."""
 
     name: str
 
 
 @codec.register("fleet.noted")
 @attrs.frozen
-class Noted:
-    """The command is in the state."""
+class Applied:
+    """Answer to a command that was applied."""
 
+    # Whether it changed the state.
     is_change: bool = True
 
 
-def _touch(section: Section, context: machine.Context) -> Noted:
+def _touch(section: Section, context: machine.Context) -> Applied:
     section.registry_index = context.index
-    return Noted()
+    return Applied()
 
 
 @machine.apply.register
 def _(
     command: PutPolicy, state: machine.State, context: machine.Context
-) -> PolicyTaken:
+) -> PolicyInForce:
     section = section_of(state)
-    # An older change that arrives again, or another one under the version held, is
-    # acknowledged and changes nothing: the first content of a version stands.
+    # A policy with an older version, or other content under the current version, is
+    # acknowledged without a change: the first content of a version stays in force.
     if command.policy.version > section.policy.version:
         section.policy = command.policy
         section.document = command.document
         section.policy_index = context.index
-    return PolicyTaken(section.policy.version)
+    return PolicyInForce(section.policy.version)
 
 
 @machine.apply.register
-def _(command: PutUpstream, state: machine.State, context: machine.Context) -> Noted:
+def _(command: PutUpstream, state: machine.State, context: machine.Context) -> Applied:
     section = section_of(state)
     if not _put(section, command.upstream, command.is_established, context):
-        return Noted(False)
+        return Applied(False)
     return _touch(section, context)
 
 
 @machine.apply.register
-def _(command: PutUpstreams, state: machine.State, context: machine.Context) -> Noted:
+def _(command: PutUpstreams, state: machine.State, context: machine.Context) -> Applied:
     section = section_of(state)
     n_put = sum(_put(section, each, False, context) for each in command.upstreams)
-    return _touch(section, context) if n_put else Noted(False)
+    return _touch(section, context) if n_put else Applied(False)
 
 
 def _put(
@@ -276,18 +284,19 @@
     is_established: bool,
     context: machine.Context,
 ) -> bool:
-    """Note an upstream if its announcement is worth it."""
-    judgement = section.judge(given)
-    is_doubtful = judgement.verdict is incarnations.Verdict.DOUBTFUL
-    is_believed = is_doubtful and is_established
-    if judgement.verdict is not incarnations.Verdict.TAKEN and not is_believed:
+    """Register an upstream if its announcement is accepted; return whether it was."""
+    assessment = section.assess(given)
+    is_unconfirmed = assessment.decision is incarnations.Decision.UNCONFIRMED
+    is_confirmed = is_unconfirmed and is_established
+    if assessment.decision is not incarnations.Decision.ACCEPTED and not is_confirmed:
         return False
     known = section.upstreams_by_id.get(given.upstream_id)
-    for upstream_id in judgement.holder_ids:
-        section.take_out(upstream_id, context.time)
+    for upstream_id in assessment.replaced_ids:
+        section.remove_upstream(upstream_id, context.time)
     section.formers_by_announced_id.pop(given.announced_id, None)
     if known is not None and known.is_leaving:
-        # Who has said that it leaves stays gone, whatever comes late.
+        # An upstream that has announced that it is leaving stays so, even if an earlier
+        # announcement arrives late.
         given = attrs.evolve(given, is_leaving=True)
     section.upstreams_by_id[given.upstream_id] = given
     return True
@@ -296,34 +305,36 @@
 @machine.apply.register
 def _(
     command: RemoveUpstreams, state: machine.State, context: machine.Context
-) -> Noted:
+) -> Applied:
     section = section_of(state)
     for upstream_id in command.upstream_ids:
-        section.take_out(upstream_id, context.time)
-    section.forget_formers(context.time)
+        section.remove_upstream(upstream_id, context.time)
+    section.prune_formers(context.time)
     return _touch(section, context)
 
 
 @machine.apply.register
-def _(command: NoteDeparture, state: machine.State, context: machine.Context) -> Noted:
+def _(
+    command: RecordDeparture, state: machine.State, context: machine.Context
+) -> Applied:
     section = section_of(state)
     announced_id = command.announced_id
     if section.is_departure_known(announced_id, command.started_at_ms):
-        return Noted(False)
-    section.take_out_all(announced_id, context.time)
+        return Applied(False)
+    section.remove_all_named(announced_id, context.time)
     former = section.formers_by_announced_id.get(announced_id)
     started_at_ms = command.started_at_ms
     if started_at_ms is None and former is not None:
         started_at_ms = former.started_at_ms
-    section.formers_by_announced_id[announced_id] = incarnations.Former(
+    section.formers_by_announced_id[announced_id] = incarnations.FormerIncarnation(
         started_at_ms, 0, True, context.time
     )
-    section.forget_formers(context.time)
+    section.prune_formers(context.time)
     return _touch(section, context)
 
 
 @machine.apply.register
-def _(command: MarkSilent, state: machine.State, context: machine.Context) -> Noted:
+def _(command: MarkSilent, state: machine.State, context: machine.Context) -> Applied:
     section = section_of(state)
     for upstream_id in command.upstream_ids:
         known = section.upstreams_by_id.get(upstream_id)
@@ -334,19 +345,21 @@
 
 
 @machine.apply.register
-def _(command: NameVersion, state: machine.State, context: machine.Context) -> Noted:
+def _(
+    command: AnnounceVersion, state: machine.State, context: machine.Context
+) -> Applied:
     section = section_of(state)
     if section.versions_by_model.get(command.model, -1) >= command.version:
-        return Noted(False)
+        return Applied(False)
     section.versions_by_model[command.model] = command.version
     return _touch(section, context)
 
 
 @machine.apply.register
-def _(command: PutStore, state: machine.State, context: machine.Context) -> Noted:
+def _(command: PutStore, state: machine.State, context: machine.Context) -> Applied:
     section = section_of(state)
-    if section.holds_store(command):
-        return Noted(False)
+    if section.is_store_recorded(command):
+        return Applied(False)
     section.stores_by_name[command.name] = model.Store(
         command.name, command.address, availability_zone=command.availability_zone
     )
@@ -354,20 +367,22 @@
 
 
 @machine.apply.register
-def _(command: FoundStores, state: machine.State, context: machine.Context) -> Noted:
+def _(
+    command: BootstrapStores, state: machine.State, context: machine.Context
+) -> Applied:
     section = section_of(state)
     if section.founder_addresses:
-        return Noted(False)
+        return Applied(False)
     section.founder_addresses = command.addresses
     return _touch(section, context)
 
 
 @machine.apply.register
-def _(command: RetireStore, state: machine.State, context: machine.Context) -> Noted:
+def _(command: RetireStore, state: machine.State, context: machine.Context) -> Applied:
     section = section_of(state)
     known = section.stores_by_name.get(command.name)
     if known is None or known.retiring_index:
-        return Noted(False)
+        return Applied(False)
     retiring = attrs.evolve(known, retiring_index=context.index)
     section.stores_by_name[command.name] = retiring
     return _touch(section, context)
--- a/bilberrydrum/fleet/control.py
+++ b/bilberrydrum/fleet/control.py
@@ -1,7 +1,7 @@
-"""The control group's leader: answers processes and tells them of changes.
+"""The control group's leader: answers requests and sends changes to subscribers.
 
-The decisions are in `commands` and `liveness`; this module carries messages between
-them, the log and the subscribers. What concerns the stores is in `store_calls`.
+The decisions are made in `commands` and `liveness`; this module passes messages between
+them, the log and the subscribers. Requests about the stores are in `store_calls`.
 """
 
 from collections.abc import Mapping
@@ -27,32 +27,33 @@
 from bilberrydrum.state import leader_service, replica
 
 if TYPE_CHECKING:
-    # Imported by the processes that report use only: it brings an HTTP client.
+    # Only processes that report usage import it, as it imports an HTTP client.
     from bilberrydrum.usage import reporter
 
-# How often silences are looked for.
+# How often the leader looks for silent upstreams, in seconds.
 _SWEEP_SECONDS: Final = 0.3
-# News of what engines have loaded are gathered for so long, in seconds, and committed
-# together: in a large fleet an engine loads every few milliseconds, and who gives the
-# orders asks the engine itself.
-_GATHER_LOADS_SECONDS: Final = 0.25
-# An upstream that is not heard is removed after this many times the silence that marks
-# it: until then gateways that reach it may go on using it.
-_GONE_FACTOR: Final = 8
+# Announcements that differ only in loaded weight versions are collected for this long,
+# in seconds, and committed together. In a large fleet some engine loads weights every
+# few milliseconds, and the delay does no harm: the process that orders a load asks the
+# engine itself.
+_LOADS_COMMIT_SECONDS: Final = 0.25
+# A silent upstream is removed after this many times the interval after which it is
+# marked silent. Until then gateways that can reach it may go on using it.
+_REMOVAL_FACTOR: Final = 8
 
 
 @attrs.frozen
 class ControlOptions:
-    """Options of the control leader."""
+    """Options of the control group's leader."""
 
-    # An upstream not heard from for this long is marked silent.
+    # An upstream without an announcement for this many seconds is marked silent.
     silent_seconds: float = 4.0
-    # Replicas that the stores' group keeps.
+    # Number of voting replicas of the stores' group.
     n_store_voters: int = 3
 
 
 class ControlService:
-    """The leader's answers and its pushes, beside one replica."""
+    """Answers requests and pushes changes while one replica leads."""
 
     def __init__(
         self,
@@ -63,7 +64,7 @@
     ) -> None:
         """Make the service; nothing is answered before `start`.
 
-        `usage` is None where use is not reported.
+        `usage` is None where usage is not reported.
         """
         self._usage = usage
         self._options = options
@@ -71,24 +72,24 @@
         self._carrier = carrier
         self._service = leader_service.LeaderService(replica_, carrier)
         self._liveness = liveness.Liveness(
-            options.silent_seconds, options.silent_seconds * _GONE_FACTOR
+            options.silent_seconds, options.silent_seconds * _REMOVAL_FACTOR
         )
         self._subscribers = subscribers.Subscribers()
         self._stores = store_calls.StoreCalls(
-            replica_, self._subscribers, options.n_store_voters, self._led_seconds
+            replica_, self._subscribers, options.n_store_voters, self._seconds_as_leader
         )
         self._crashes = crash_calls.CrashCalls(replica_)
         self._term = 0
-        self._led_since = 0.0
-        # What upstreams have said of their loads and is not committed yet.
-        self._loaded_by_id: dict[str, model.FleetUpstream] = {}
+        self._leader_since = 0.0
+        # Announcements of newly loaded weight versions that are not committed yet.
+        self._pending_loads_by_id: dict[str, model.FleetUpstream] = {}
         self._changed = eventlet.event.Event()
         self._feeds = feeds.Feeds()
-        self._not_taken_lines = line_limit.LineLimit()
+        self._rejection_lines = line_limit.LineLimit()
         self._tasks: list[Any] = []
 
     def start(self) -> None:
-        """Start to answer."""
+        """Start answering requests and pushing changes."""
         handlers: Mapping[type[Any], leader_service.Handler] = {
             messages.Announce: self._on_announce,
             messages.Depart: self._on_depart,
@@ -112,7 +113,7 @@
         self._tasks = [eventlet.spawn(each) for each in tasks]
 
     def stop(self) -> None:
-        """Stop to push; answers end with the replica."""
+        """Stop pushing changes; answers stop when the replica stops."""
         for task in self._tasks:
             task.kill()
         self._tasks.clear()
@@ -128,43 +129,46 @@
     # Upstreams
 
     def _on_announce(self, sender: transport.Sender, message: messages.Announce) -> Any:
-        self._notice_leadership()
+        self._reset_for_new_term()
         given = message.upstream
         section = self._section()
         known = section.upstreams_by_id.get(given.upstream_id)
-        if section.lacks_service(given):
-            return self._not_taken(given, "the policy has no such service")
+        if section.names_unknown_service(given):
+            return self._reject_announcement(given, "the policy has no such service")
         if known is not None:
-            if not self._liveness.heard(given, clock.now()):
+            if not self._liveness.record_announcement(given, clock.now()):
                 return messages.Done()
-            if _says_nothing_new(known, given):
+            if _is_unchanged(known, given):
                 return messages.Done()
-            if _says_loads_only(known, given):
-                # Lost with this leader, it is said again with the next renewal.
-                self._loaded_by_id[given.upstream_id] = given
+            if _changes_loads_only(known, given):
+                # If this leader is lost before the commit, the upstream's next
+                # announcement brings the versions again.
+                self._pending_loads_by_id[given.upstream_id] = given
                 return messages.Done()
-        judgement = section.judge(given)
-        verdict = judgement.verdict
-        if verdict is incarnations.Verdict.LATE:
+        assessment = section.assess(given)
+        decision = assessment.decision
+        if decision is incarnations.Decision.STALE:
             return messages.Done()
-        if verdict is incarnations.Verdict.INCOMPLETE:
-            return self._not_taken(given, "its start is not told")
-        is_doubtful = verdict is incarnations.Verdict.DOUBTFUL
-        if is_doubtful and not self._liveness.is_established(
-            given, judgement.holder_ids, clock.now()
+        if decision is incarnations.Decision.INCOMPLETE:
+            return self._reject_announcement(given, "its start time is missing")
+        is_unconfirmed = decision is incarnations.Decision.UNCONFIRMED
+        if is_unconfirmed and not self._liveness.is_established(
+            given, assessment.replaced_ids, clock.now()
         ):
-            return self._not_taken(given, "another incarnation has replaced it")
-        return self._put(given, known, judgement, is_doubtful)
+            return self._reject_announcement(
+                given, "another incarnation has replaced it"
+            )
+        return self._put(given, known, assessment, is_unconfirmed)
 
     def _put(
         self,
         given: model.FleetUpstream,
         known: model.FleetUpstream | None,
-        judgement: incarnations.Judgement,
+        assessment: incarnations.Assessment,
         is_established: bool,
     ) -> Any:
-        # Before the commit: a sweep in between would take it for silent.
-        self._liveness.heard(given, clock.now())
+        # Recorded before the commit, as a sweep in between would mark it as silent.
+        self._liveness.record_announcement(given, clock.now())
         is_committed = self._commit(commands.PutUpstream(given, is_established))
         eliot.log_message(
             message_type="upstreams:announced",
@@ -175,23 +179,24 @@
             versions_by_model=given.versions_by_model,
             sequence=given.sequence,
             sequence_before=known.sequence if known is not None else None,
-            verdict=judgement.verdict.value,
-            replaced_ids=judgement.holder_ids,
+            decision=assessment.decision.value,
+            replaced_ids=assessment.replaced_ids,
             is_committed=is_committed,
         )
         return messages.Done() if is_committed else None
 
     def _commit_loads(self) -> None:
         while True:
-            clock.sleep(_GATHER_LOADS_SECONDS)
+            clock.sleep(_LOADS_COMMIT_SECONDS)
             try:
-                self._commit_gathered()
+                self._commit_pending_loads()
             except Exception:
-                # Were this task to end, loads would be acknowledged and never told.
+                # If this task ended, loaded versions would be acknowledged and never
+                # committed or published.
                 eliot.write_traceback()
 
-    def _commit_gathered(self) -> None:
-        loaded_by_id, self._loaded_by_id = self._loaded_by_id, {}
+    def _commit_pending_loads(self) -> None:
+        loaded_by_id, self._pending_loads_by_id = self._pending_loads_by_id, {}
         if not loaded_by_id or self._replica.leadership() is None:
             return
         command = commands.PutUpstreams(tuple(loaded_by_id.values()))
@@ -205,11 +210,13 @@
             is_committed=is_committed,
         )
 
-    def _not_taken(self, given: model.FleetUpstream, why: str) -> messages.NotTaken:
-        n_before = self._not_taken_lines.admit(clock.now())
+    def _reject_announcement(
+        self, given: model.FleetUpstream, why: str
+    ) -> messages.AnnouncementRejected:
+        n_before = self._rejection_lines.admit(clock.now())
         if n_before is not None:
             eliot.log_message(
-                message_type="upstreams:not-taken",
+                message_type="upstreams:announcement-rejected",
                 upstream_id=given.upstream_id,
                 service=given.service,
                 address=given.address,
@@ -217,13 +224,13 @@
                 why=why,
                 n_not_logged=n_before,
             )
-        return messages.NotTaken(why)
+        return messages.AnnouncementRejected(why)
 
     def _on_depart(self, sender: transport.Sender, message: messages.Depart) -> Any:
         announced_id, started_at_ms = message.announced_id, message.started_at_ms
         if self._section().is_departure_known(announced_id, started_at_ms):
             return messages.Done()
-        command = commands.NoteDeparture(announced_id, started_at_ms)
+        command = commands.RecordDeparture(announced_id, started_at_ms)
         is_committed = self._commit(command)
         eliot.log_message(
             message_type="upstreams:departed",
@@ -262,7 +269,7 @@
         named = self._section().versions_by_model.get(message.model, -1)
         if named >= message.version:
             return messages.Done()
-        command = commands.NameVersion(message.model, message.version)
+        command = commands.AnnounceVersion(message.model, message.version)
         is_committed = self._commit(command)
         eliot.log_message(
             message_type="weights:named",
@@ -278,11 +285,11 @@
     def _on_subscribe(
         self, sender: transport.Sender, message: messages.Subscribe
     ) -> Any:
-        self._notice_leadership()
-        noted = self._subscribers.heard(sender.address, message)
+        self._reset_for_new_term()
+        subscriber = self._subscribers.record_renewal(sender.address, message)
         if message.store_name:
-            self._stores.note(message)
-        feed = self._feed_for(noted)
+            self._stores.record_store(message)
+        feed = self._feed_for(subscriber)
         if self._usage is None:
             return feed
         self._usage.heard(sender.address, message.unix_time, message.usage)
@@ -295,7 +302,7 @@
     def _on_ask_trial(
         self, sender: transport.Sender, message: messages.AskTrial
     ) -> Any:
-        self._notice_leadership()
+        self._reset_for_new_term()
         return self._crashes.on_ask_trial(sender, message)
 
     def _feed_for(self, subscriber: subscribers.Subscriber) -> messages.Feed:
@@ -317,18 +324,19 @@
             if self._replica.leadership() is None:
                 continue
             try:
-                self._push_news()
+                self._push_changes()
             except Exception:
-                # Were this task to end, all changes would wait for renewals.
+                # If this task ended, changes would reach processes only with their
+                # renewals.
                 eliot.write_traceback()
 
-    def _push_news(self) -> None:
+    def _push_changes(self) -> None:
         section = self._section()
         for address, each in self._subscribers.live().items():
             if self._can_wait(each, section):
                 continue
             feed = self._feed_for(each)
-            if not _is_news(feed):
+            if not _has_changes(feed):
                 continue
             each.request = attrs.evolve(
                 each.request,
@@ -341,30 +349,30 @@
     def _can_wait(
         self, subscriber: subscribers.Subscriber, section: commands.Section
     ) -> bool:
-        has = subscriber.request
-        is_store = bool(has.store_address)
-        if is_store or has.policy_index < section.policy_index:
+        known = subscriber.request
+        is_store = bool(known.store_address)
+        if is_store or known.policy_index < section.policy_index:
             return False
-        if has.crashes_index < self._crashes.section().index:
+        if known.crashes_index < self._crashes.section().index:
             return False
-        return self._feeds.can_wait(section, has.registry_index)
+        return self._feeds.can_wait(section, known.registry_index)
 
-    def _led_seconds(self) -> float:
-        """Return for how long this replica has led."""
-        self._notice_leadership()
-        return clock.now() - self._led_since
+    def _seconds_as_leader(self) -> float:
+        """Return for how many seconds this replica has been the leader."""
+        self._reset_for_new_term()
+        return clock.now() - self._leader_since
 
-    def _notice_leadership(self) -> None:
+    def _reset_for_new_term(self) -> None:
         held = self._replica.leadership()
         if held is not None and held.term != self._term:
             self._term = held.term
-            self._led_since = clock.now()
-            self._liveness.begin(self._led_since)
+            self._leader_since = clock.now()
+            self._liveness.reset(self._leader_since)
             self._subscribers.clear()
             self._feeds.clear()
             self._stores.clear()
-            self._crashes.begin(self._led_since)
-            self._loaded_by_id.clear()
+            self._crashes.begin(self._leader_since)
+            self._pending_loads_by_id.clear()
             eliot.log_message(message_type="control:leads", term=held.term)
 
     def _sweep(self) -> None:
@@ -375,13 +383,13 @@
             try:
                 self._sweep_once()
             except Exception:
-                # Were this task to end, upstreams that are gone would be sent requests
-                # until another process leads.
+                # If this task ended, requests would be sent to crashed upstreams until
+                # another process becomes the leader.
                 eliot.write_traceback()
 
     def _sweep_once(self) -> None:
-        self._notice_leadership()
-        self._stores.choose_founders()
+        self._reset_for_new_term()
+        self._stores.choose_initial_members()
         self._crashes.lapse()
         due = self._liveness.due(clock.now(), self._section().upstreams_by_id.values())
         if due.silent_ids:
@@ -392,17 +400,17 @@
             self._commit(commands.RemoveUpstreams(due.gone_ids))
 
 
-def _is_news(feed: messages.Feed) -> bool:
+def _has_changes(feed: messages.Feed) -> bool:
     return bool(feed.policy or feed.registry or feed.registry_change or feed.crashes)
 
 
-def _says_loads_only(known: model.FleetUpstream, given: model.FleetUpstream) -> bool:
-    """Tell whether all that is new is what the upstream has loaded."""
+def _changes_loads_only(known: model.FleetUpstream, given: model.FleetUpstream) -> bool:
+    """Return whether nothing but the loaded weight versions differs."""
     same = attrs.evolve(given, versions_by_model=known.versions_by_model)
-    return _says_nothing_new(known, same)
+    return _is_unchanged(known, same)
 
 
-def _says_nothing_new(known: model.FleetUpstream, given: model.FleetUpstream) -> bool:
+def _is_unchanged(known: model.FleetUpstream, given: model.FleetUpstream) -> bool:
     same = attrs.evolve(given, sequence=known.sequence, cold_seconds=known.cold_seconds)
     if known.is_leaving:
         same = attrs.evolve(same, is_leaving=True)
--- a/bilberrydrum/fleet/crash_calls.py
+++ b/bilberrydrum/fleet/crash_calls.py
@@ -39,7 +39,7 @@
             self._trials.end(report.crash.fingerprint)
         for fingerprint in message.cleared:
             self._trials.end(fingerprint)
-        return messages.CrashesTaken(self.section().index)
+        return messages.CrashesRecorded(self.section().index)
 
     def on_ask_trial(self, sender: transport.Sender, message: messages.AskTrial) -> Any:
         """Let a doubtful request be tried, if no other copy is."""
--- a/bilberrydrum/fleet/incarnations.py
+++ b/bilberrydrum/fleet/incarnations.py
@@ -1,14 +1,14 @@
-"""Which incarnation of an upstream an announcement speaks for, and whether to take it.
+"""Which incarnation of an upstream an announcement is from, and whether to accept it.
 
-An upstream that starts again may keep its name, and its address may be taken over by
-another one. Announcements are delayed by seconds when a link was cut, so the words of
-an upstream that has crashed arrive after those of the one in its place. Taken at their
-word they would send requests to an upstream that is gone; each of them is turned away
-until the living one is heard again.
+An upstream that restarts may keep its id, and another upstream may take over its
+address. Announcements are delayed by seconds after a network partition, so those of a
+crashed upstream can arrive after those of its replacement. If they were accepted,
+requests would be sent to an upstream that no longer runs, and fail until the running
+one announces itself again.
 
-What is decided here is decided by each replica alike, from the log alone. Whether a
-doubtful announcement is believed in the end depends on who is heard meanwhile, which
-only the leader knows (`liveness`).
+The decisions here depend on the log alone, so each replica makes the same ones. Whether
+an unconfirmed announcement is accepted in the end depends on which upstreams announce
+themselves meanwhile, which only the leader knows (see `liveness`).
 """
 
 import enum
@@ -20,44 +20,45 @@
 from bilberrydrum.fleet import model
 
 
-class Verdict(enum.Enum):
-    """What an announcement is worth."""
+class Decision(enum.Enum):
+    """Whether an announcement is accepted."""
 
-    # The latest word of an upstream that is there.
-    TAKEN = "taken"
-    # A later word of the same incarnation is known, or it has left for good.
-    LATE = "late"
-    # It speaks for an incarnation that another one has replaced. Most likely it was
-    # held up on its way; but a clock may have gone back, or the other one is the late
-    # one.
-    DOUBTFUL = "doubtful"
-    # It does not say when its upstream started, though the upstream of that name does.
+    # It is the latest announcement of a running upstream.
+    ACCEPTED = "taken"
+    # A later announcement of the same incarnation is known, or its final departure.
+    STALE = "late"
+    # It is from an incarnation that another one has replaced. Most likely it was
+    # delayed on its way. But the clock of its host may have gone back, or the
+    # announcement of the replacement was the delayed one.
+    UNCONFIRMED = "doubtful"
+    # It has no start time, though the registered upstream with this id has one.
     INCOMPLETE = "incomplete"
 
 
 @attrs.frozen
-class Judgement:
-    """A verdict, and the incarnations in whose place the announced one would come."""
+class Assessment:
+    """A decision, and the incarnations that the announced one would replace."""
 
-    verdict: Verdict
-    holder_ids: tuple[str, ...] = ()
+    decision: Decision
+    replaced_ids: tuple[str, ...] = ()
 
 
 @codec.register("fleet.former")
 @attrs.frozen
-class Former:
-    """The last incarnation of an upstream that is not in the registry any more."""
+class FormerIncarnation:
+    """The last incarnation of an upstream that was removed from the registry."""
 
     started_at_ms: int | None
-    # Number of its last announcement in the log.
+    # Sequence number of its last announcement in the log.
     sequence: int
-    # It said that it leaves; otherwise it was replaced, or silent for too long.
+    # Whether it announced its departure; otherwise it was replaced, or was silent for
+    # too long.
     has_left: bool
-    # When it was taken out, in seconds of the log's time.
+    # When it was removed, in seconds of the log's time.
     at: float
 
     def is_followed_by(self, given: model.FleetUpstream) -> bool:
-        """Tell whether `given` may come after this one's last word."""
+        """Return whether `given` may be newer than this one's last announcement."""
         order = compare_starts(given.started_at_ms, self.started_at_ms)
         if order != 0:
             return True
@@ -67,8 +68,8 @@
 def compare_starts(given: int | None, known: int | None) -> int:
     """Return 1 if `given` is the later start, 0 if it is the same, else -1.
 
-    A start that is not told is earlier than one that is: an announcement without it
-    never takes the place of an incarnation that has it.
+    A missing start time counts as the earlier one, so an announcement without it never
+    replaces an incarnation that has one.
     """
     if given == known:
         return 0
@@ -77,17 +78,17 @@
     return 1 if known is None or given > known else -1
 
 
-def judge(
+def assess(
     given: model.FleetUpstream,
     upstreams: Iterable[model.FleetUpstream],
-    former: Former | None,
-) -> Judgement:
-    """Return what `given` is worth beside the registered `upstreams`.
+    former: FormerIncarnation | None,
+) -> Assessment:
+    """Decide whether `given` is accepted in view of the registered `upstreams`.
 
     Parameters
     ----------
     former : Former or None
-        The last incarnation of the same name that is not among `upstreams`.
+        The last removed incarnation with the same id.
     """
     known, holders = None, []
     for each in upstreams:
@@ -96,23 +97,23 @@
         elif each.announced_id == given.announced_id or each.address == given.address:
             holders.append(each)
     if _lacks_start(given, holders, former):
-        return Judgement(Verdict.INCOMPLETE)
+        return Assessment(Decision.INCOMPLETE)
     if known is not None and given.sequence < known.sequence:
-        return Judgement(Verdict.LATE)
+        return Assessment(Decision.STALE)
     if known is None and former is not None and not former.is_followed_by(given):
-        return Judgement(Verdict.LATE)
-    holder_ids = tuple(each.upstream_id for each in holders)
+        return Assessment(Decision.STALE)
+    replaced_ids = tuple(each.upstream_id for each in holders)
     if _is_earlier(given, former) or any(
-        _is_doubtful(given, each, former) for each in holders
+        _may_be_older(given, each, former) for each in holders
     ):
-        return Judgement(Verdict.DOUBTFUL, holder_ids)
-    return Judgement(Verdict.TAKEN, holder_ids)
+        return Assessment(Decision.UNCONFIRMED, replaced_ids)
+    return Assessment(Decision.ACCEPTED, replaced_ids)
 
 
 def _lacks_start(
     given: model.FleetUpstream,
     holders: Iterable[model.FleetUpstream],
-    former: Former | None,
+    former: FormerIncarnation | None,
 ) -> bool:
     if given.started_at_ms is not None:
         return False
@@ -124,19 +125,22 @@
     )
 
 
-def _is_earlier(given: model.FleetUpstream, former: Former | None) -> bool:
+def _is_earlier(given: model.FleetUpstream, former: FormerIncarnation | None) -> bool:
     if former is None:
         return False
     return compare_starts(given.started_at_ms, former.started_at_ms) < 0
 
 
-def _is_doubtful(
-    given: model.FleetUpstream, holder: model.FleetUpstream, former: Former | None
+def _may_be_older(
+    given: model.FleetUpstream,
+    holder: model.FleetUpstream,
+    former: FormerIncarnation | None,
 ) -> bool:
-    """Tell whether `given` may be older than `holder`, in whose place it would come."""
+    """Return whether `given` may be older than `holder`, which it would replace."""
     if given.announced_id == holder.announced_id:
         return compare_starts(given.started_at_ms, holder.started_at_ms) < 0
     if given.started_at_ms is not None and holder.started_at_ms is not None:
         return given.started_at_ms < holder.started_at_ms
-    # Without starts to compare, who was at the address before is the older one.
+    # Without start times to compare, an upstream that was removed earlier is older than
+    # the one that has its address now.
     return former is not None and former.started_at_ms == given.started_at_ms
--- a/bilberrydrum/fleet/liveness.py
+++ b/bilberrydrum/fleet/liveness.py
@@ -1,7 +1,8 @@
-"""Which upstreams have been silent for too long, as the control leader sees it.
+"""Failure detection for upstreams by their announcements, in the control leader.
 
-Renewals stay in the leader's memory: written to the log, 870 engines' renewals would be
-most of its entries. A new leader starts with everyone heard at the moment it took over.
+The times of announcements are kept in the leader's memory only: written to the log, the
+announcements of 870 engines would be most of its entries. A new leader treats all
+upstreams as if they had announced themselves when its term began.
 """
 
 from collections.abc import Collection, Iterable
@@ -13,77 +14,82 @@
 
 @attrs.frozen
 class Due:
-    """Upstreams whose silence has consequences now."""
+    """Upstreams to be marked as silent, and upstreams to be removed."""
 
     silent_ids: tuple[str, ...] = ()
     gone_ids: tuple[str, ...] = ()
 
 
 @attrs.define
-class _Claim:
-    """Doubtful announcements of one incarnation, in a row."""
+class _Candidate:
+    """Consecutive unconfirmed announcements of one incarnation."""
 
+    # When the first of them arrived, in seconds.
     since: float
+    # The highest sequence number among them.
     sequence: int
 
 
 class Liveness:
-    """When each upstream was last heard."""
+    """Keeps the time of the last announcement of each upstream."""
 
-    def __init__(self, silent_seconds: float, gone_seconds: float) -> None:
+    def __init__(self, silent_seconds: float, removal_seconds: float) -> None:
         self._silent_seconds = silent_seconds
-        self._gone_seconds = gone_seconds
-        self._heard_at_by_id: dict[str, float] = {}
+        self._removal_seconds = removal_seconds
+        self._announced_at_by_id: dict[str, float] = {}
         self._sequences_by_id: dict[str, int] = {}
-        self._claims_by_id: dict[str, _Claim] = {}
+        self._candidates_by_id: dict[str, _Candidate] = {}
         self._since = float("-inf")
 
-    def begin(self, now: float) -> None:
-        """Start over: this process has just become the leader."""
+    def reset(self, now: float) -> None:
+        """Forget all announcements, as this process has just become the leader."""
         self._since = now
-        self._heard_at_by_id.clear()
+        self._announced_at_by_id.clear()
         self._sequences_by_id.clear()
-        self._claims_by_id.clear()
+        self._candidates_by_id.clear()
 
-    def heard(self, upstream: model.FleetUpstream, now: float) -> bool:
-        """Note an announcement; False if a later one was heard before it."""
+    def record_announcement(self, upstream: model.FleetUpstream, now: float) -> bool:
+        """Record an announcement; return False if a later one arrived before it."""
         last = self._sequences_by_id.get(upstream.upstream_id, -1)
         if upstream.sequence < last:
             return False
         self._sequences_by_id[upstream.upstream_id] = upstream.sequence
-        self._heard_at_by_id[upstream.upstream_id] = now
+        self._announced_at_by_id[upstream.upstream_id] = now
         return True
 
     def is_established(
-        self, upstream: model.FleetUpstream, holder_ids: Collection[str], now: float
+        self, upstream: model.FleetUpstream, replaced_ids: Collection[str], now: float
     ) -> bool:
-        """Tell whether a doubtful announcement is to be believed; note it.
+        """Record an unconfirmed announcement; return whether it is now confirmed.
 
-        A living upstream announces itself again and again. One that crashed is heard
-        for as long as its last words are on their way, a few seconds, while the one in
-        its place is heard too. So it takes later and later words over the time in
-        which silence is noticed, and nothing from those in its place meanwhile.
+        A running upstream announces itself periodically. The last announcements of a
+        crashed one arrive for a few seconds at most, while its replacement announces
+        itself too. So an incarnation is confirmed once its announcements have arrived
+        with rising sequence numbers for the time after which an upstream is marked
+        silent, and none has arrived from `replaced_ids` meanwhile.
         """
-        heard_at = max(
-            (self._heard_at_by_id.get(each, self._since) for each in holder_ids),
+        announced_at = max(
+            (self._announced_at_by_id.get(each, self._since) for each in replaced_ids),
             default=float("-inf"),
         )
-        claim = self._claims_by_id.get(upstream.upstream_id)
-        if claim is None or claim.since <= heard_at:
-            claim = _Claim(now, upstream.sequence)
-            self._claims_by_id[upstream.upstream_id] = claim
-        if upstream.sequence <= claim.sequence:
+        candidate = self._candidates_by_id.get(upstream.upstream_id)
+        if candidate is None or candidate.since <= announced_at:
+            candidate = _Candidate(now, upstream.sequence)
+            self._candidates_by_id[upstream.upstream_id] = candidate
+        if upstream.sequence <= candidate.sequence:
             return False
-        claim.sequence = upstream.sequence
-        return now - claim.since >= self._silent_seconds
+        candidate.sequence = upstream.sequence
+        return now - candidate.since >= self._silent_seconds
 
     def due(self, now: float, upstreams: Iterable[model.FleetUpstream]) -> Due:
-        """Return the upstreams to be marked silent, and those to be removed."""
+        """Return the upstreams to be marked as silent, and those to be removed."""
         silent, gone = [], []
         for upstream in upstreams:
-            heard_at = self._heard_at_by_id.get(upstream.upstream_id, self._since)
-            if now - heard_at > self._gone_seconds:
+            announced_at = self._announced_at_by_id.get(
+                upstream.upstream_id, self._since
+            )
+            if now - announced_at > self._removal_seconds:
                 gone.append(upstream.upstream_id)
-            elif now - heard_at > self._silent_seconds and not upstream.is_silent:
+            elif now - announced_at > self._silent_seconds and not upstream.is_silent:
                 silent.append(upstream.upstream_id)
         return Due(tuple(silent), tuple(gone))
--- a/bilberrydrum/fleet/messages.py
+++ b/bilberrydrum/fleet/messages.py
@@ -1,6 +1,6 @@
 """Messages to the control group's leader, and its answers.
 
-All of them are safe to repeat, as `state.leader_calls` asks.
+All of them are idempotent, as `state.leader_calls` requires.
 """
 
 import attrs
@@ -14,7 +14,7 @@
 @codec.register("fleet.announce")
 @attrs.frozen
 class Announce:
-    """An upstream's announcement, as a control process heard it."""
+    """An upstream's announcement, as a control process received it."""
 
     upstream: model.FleetUpstream
 
@@ -22,26 +22,26 @@
 @codec.register("fleet.depart")
 @attrs.frozen
 class Depart:
-    """An upstream says that it takes no more work and ends."""
+    """An upstream's notice that it accepts no more work and stops."""
 
     announced_id: str
-    # Start of the incarnation that ends; None: not told.
+    # Start of the incarnation that stops; None if the notice does not state it.
     started_at_ms: int | None = None
 
 
 @codec.register("fleet.not-taken")
 @attrs.frozen
-class NotTaken:
-    """An announcement was not believed and changed nothing; it may come again."""
+class AnnouncementRejected:
+    """An announcement was rejected and changed nothing; a later one may be accepted."""
 
-    # Why, for the log and for whoever sent it.
+    # The reason, for the log and for the sender.
     why: str
 
 
 @codec.register("fleet.submit-policy")
 @attrs.frozen
 class SubmitPolicy:
-    """Put a policy into force; checked before it is sent here."""
+    """Put a policy into force; the sender has validated it."""
 
     policy: fleet_policy.Policy
     document: bytes
@@ -50,13 +50,13 @@
 @codec.register("fleet.read-policy")
 @attrs.frozen
 class ReadPolicy:
-    """Ask for the policy in force, as it was submitted."""
+    """Request the policy in force, as it was submitted."""
 
 
 @codec.register("fleet.policy-document")
 @attrs.frozen
 class PolicyDocument:
-    """The policy in force; version 0: there is none yet."""
+    """The policy in force; version 0 if there is none yet."""
 
     version: int
     document: bytes
@@ -65,7 +65,7 @@
 @codec.register("fleet.publish-version")
 @attrs.frozen
 class PublishVersion:
-    """A trainer names a version of its model's weights."""
+    """A trainer announces a version of its model's weights."""
 
     model: str
     version: int
@@ -74,7 +74,7 @@
 @codec.register("fleet.begin-retirement")
 @attrs.frozen
 class BeginRetirement:
-    """Have a store emptied, so that its host can be taken away."""
+    """Start to move a store's replica elsewhere, so that its host can be removed."""
 
     name: str
 
@@ -82,7 +82,7 @@
 @codec.register("fleet.read-retirement")
 @attrs.frozen
 class ReadRetirement:
-    """Ask how far the emptying of a store is."""
+    """Request the progress of a store's retirement."""
 
     name: str
 
@@ -90,10 +90,10 @@
 @codec.register("fleet.retirement")
 @attrs.frozen
 class Retirement:
-    """How far the emptying of a store is."""
+    """The progress of a store's retirement."""
 
     is_known: bool = True
-    # Too few stores would be left.
+    # True if too few stores would be left.
     is_refused: bool = False
     is_done: bool = False
 
@@ -101,33 +101,36 @@
 @codec.register("fleet.done")
 @attrs.frozen
 class Done:
-    """What was asked is committed, or held already."""
+    """The request is committed, or was already in effect."""
 
 
 @codec.register("fleet.crash-report")
 @attrs.frozen
 class CrashReport:
-    """An upstream has ended while it ran a request."""
+    """An upstream crashed while it ran a request."""
 
     crash: quarantine.Crash
-    # How long ago, in seconds.
+    # Time since the crash, in seconds.
     age_seconds: float
 
 
 @codec.register("fleet.report-crashes")
 @attrs.frozen
 class ReportCrashes:
-    """What a sender of requests has seen of those that may end upstreams."""
+    """Crashes and cleared requests that a process that sends requests has observed."""
 
     reports: tuple[CrashReport, ...] = ()
-    # Fingerprints of requests that were answered, whatever is held against them.
+    # Fingerprints of requests that were answered, which clears them of earlier crashes.
     cleared: tuple[str, ...] = ()
 
 
 @codec.register("fleet.crashes-taken")
 @attrs.frozen
-class CrashesTaken:
-    """The report is committed; processes with this index know of it."""
+class CrashesRecorded:
+    """The report is committed.
+
+    The record of crashes includes it from this index on.
+    """
 
     crashes_index: int
 
@@ -135,7 +138,7 @@
 @codec.register("fleet.ask-trial")
 @attrs.frozen
 class AskTrial:
-    """Ask to send a doubtful request to one upstream."""
+    """Request permission to send a suspected request to one upstream."""
 
     fingerprint: str
 
@@ -143,7 +146,7 @@
 @codec.register("fleet.trial")
 @attrs.frozen
 class Trial:
-    """Whether the doubtful request may be sent; another may be under way."""
+    """Whether the suspected request may be sent; another trial may be under way."""
 
     is_granted: bool
 
@@ -151,13 +154,13 @@
 @codec.register("fleet.list-crashes")
 @attrs.frozen
 class ListCrashes:
-    """Ask for all that is held against requests."""
+    """Request the crashes that are recorded for all requests."""
 
 
 @codec.register("fleet.lift-quarantine")
 @attrs.frozen
 class LiftQuarantine:
-    """An operator has a request served again."""
+    """End a request's quarantine by order of an operator."""
 
     fingerprint: str
 
@@ -165,50 +168,55 @@
 @codec.register("fleet.subscribe")
 @attrs.frozen
 class Subscribe:
-    """A process asks to be told of changes, and again before its time is up."""
+    """A process subscribes to changes, or renews its subscription.
+
+    It has to renew before the subscription expires.
+    """
 
-    # Indexes of what it has.
+    # Indexes of the states that the process has.
     policy_index: int = 0
     registry_index: int = 0
     # Set by stores: the host's name and the address for the stores' group.
     store_name: str = ""
     store_address: str = ""
-    # The store has an empty disk and was started with the whole deployment.
+    # Whether the store was started with the complete deployment, with an empty disk, so
+    # that it may be an initial member of the stores' group.
     may_found: bool = False
-    # Set by the stores' leader: its term and the voters' addresses.
+    # Set by the leader of the stores' group: its term and the voters' addresses.
     store_term: int = 0
     store_voter_addresses: tuple[str, ...] = ()
     # The store's availability zone.
     store_zone: str = ""
-    # Index of what it has of the requests that end upstreams.
+    # Index of the record of crashes that the process has.
     crashes_index: int = 0
-    # The process's own time of day, in seconds; 0: not told.
+    # Unix time of the process's own clock, in seconds; 0 if it is not sent.
     unix_time: float = 0.0
-    # Set by gateways where use is reported.
+    # Set by gateways where usage is reported.
     usage: usage_model.Telling | None = None
 
 
 @codec.register("fleet.feed")
 @attrs.frozen
 class Feed:
-    """What has changed, as the answer to `Subscribe` or by itself."""
+    """Changes, sent as the answer to `Subscribe` or pushed."""
 
     policy_index: int
-    # Codec bytes of the policy; empty: the receiver has it.
+    # Codec bytes of the policy; empty if the receiver has it.
     policy: bytes
     registry_index: int
-    # Codec bytes of the registry; empty: the receiver has it.
+    # Codec bytes of the complete registry; empty if the receiver has it, or gets
+    # `registry_change`.
     registry: bytes
     # Addresses of the control group's members.
     control_addresses: tuple[str, ...] = ()
-    # Codec bytes of the change from the registry that the receiver has, in place of
-    # the whole registry; empty: none.
+    # Codec bytes of the difference from the registry that the receiver has; empty if
+    # there is none, or if the complete registry is sent.
     registry_change: bytes = b""
-    # What is held against requests that end upstreams, and its codec bytes; empty: the
-    # receiver has it.
+    # Index of the record of requests that crash upstreams.
     crashes_index: int = 0
+    # Codec bytes of that record; empty if the receiver has it.
     crashes: bytes = b""
-    # Only in answers, where use is reported: the leader's time of day, in seconds, and
-    # the oldest window that is not closed.
+    # Only in answers, and only where usage is reported: Unix time of the leader, in
+    # seconds, and the oldest window that is not closed.
     unix_time: float = 0.0
     usage_closed_before: int = 0
--- a/bilberrydrum/fleet/model.py
+++ b/bilberrydrum/fleet/model.py
@@ -1,4 +1,4 @@
-"""What the control group knows of upstreams and of the stores."""
+"""Upstreams and stores as the control group records them."""
 
 import functools
 from collections.abc import Mapping
@@ -13,35 +13,35 @@
 class FleetUpstream:
     """One incarnation of an upstream, as it announced itself."""
 
-    # Its own name for itself: one segment of a path, so it has no slash. An upstream
-    # that starts again may keep it.
+    # The id that the upstream gives itself: one segment of a path, so it has no slash.
+    # An upstream that restarts may keep it.
     announced_id: str
     service: str
-    # ``IP:port``; may be taken over by another upstream once this one has ended.
+    # ``IP:port``; another upstream may take it over once this one has stopped.
     address: str
     availability_zone: str
-    # Requests that it works on at a time.
+    # Number of requests that it runs concurrently.
     n_slots: int
     is_leaving: bool = False
-    # Seconds for which it is slower than usual after its start.
+    # How long it is slower than usual after its start, in seconds.
     cold_seconds: float = 0.0
-    # Weight versions by model; empty: a plain service.
+    # Loaded weight versions by model; empty for a plain service.
     versions_by_model: dict[str, int] = attrs.field(factory=dict)
-    # Number of the announcement; a later one of the same upstream has a higher one.
+    # Sequence number of the announcement; it rises within one incarnation.
     sequence: int = 0
-    # Not heard from for long: it may have crashed, or only its announcements are lost.
+    # Its announcements are overdue: it may have crashed, or they were lost.
     is_silent: bool = False
-    # Unix time of its start, in milliseconds; None: not told, and its name alone tells
-    # it from its other incarnations.
+    # Unix time of its start, in milliseconds. None if the upstream does not send it;
+    # then its incarnations cannot be told apart.
     started_at_ms: int | None = None
 
-    # Made once: each look at a fleet of thousands asks each upstream for it.
+    # Cached, as each scheduling pass reads it for each of thousands of upstreams.
     @functools.cached_property
     def upstream_id(self) -> str:
-        """Name of this incarnation, unlike that of any other.
+        """Unique id of this incarnation.
 
-        Whatever is known of an upstream hangs on it: a load that an earlier incarnation
-        reported, its failures or its weight versions say nothing of the next one.
+        All records of an upstream are kept under it, as the load, failures and weight
+        versions of an earlier incarnation do not apply to the next one.
         """
         if self.started_at_ms is None:
             return self.announced_id
@@ -57,7 +57,7 @@
     name: str
     # Address of its ROUTER for the stores' group, ``IP:port``.
     address: str
-    # Index of the log entry since which it is being emptied; 0: it is not.
+    # Index of the log entry that started its retirement; 0 if it is not retiring.
     retiring_index: int = 0
     availability_zone: str = ""
 
@@ -65,20 +65,20 @@
 @codec.register("fleet.registry")
 @attrs.frozen
 class Registry:
-    """What gateways and stores act on, besides the policy."""
+    """Upstreams, weight versions and stores, as sent to gateways and stores."""
 
     # Index of the last log entry that changed it; a higher one is newer.
     index: int = 0
     upstreams: tuple[FleetUpstream, ...] = ()
-    # Newest named version by model.
+    # Newest announced weight version by model.
     versions_by_model: dict[str, int] = attrs.field(factory=dict)
     stores: tuple[Store, ...] = ()
-    # Addresses that the stores' group starts with; empty: not chosen yet.
+    # Addresses of the initial members of the stores' group; empty until chosen.
     founder_addresses: tuple[str, ...] = ()
 
     @functools.cached_property
     def upstreams_by_id(self) -> Mapping[str, FleetUpstream]:
-        """All upstreams by the names of their incarnations."""
+        """All upstreams by the ids of their incarnations."""
         return {each.upstream_id: each for each in self.upstreams}
 
     def of_service(self, service: str) -> list[FleetUpstream]:
@@ -86,7 +86,7 @@
         return [each for each in self.upstreams if each.service == service]
 
     def find_refusal(self, upstream_id: str) -> reasons.Reason | None:
-        """Return why an upstream must be sent nothing any more; None: it may."""
+        """Return why no request may be sent to an upstream; None if it may."""
         found = self.upstreams_by_id.get(upstream_id)
         if found is None or found.is_leaving:
             return reasons.Reason.UPSTREAM_LEFT
--- a/bilberrydrum/fleet/policy.py
+++ b/bilberrydrum/fleet/policy.py
@@ -1,8 +1,8 @@
 """The traffic policy: which requests go where, and within which limits.
 
-A policy is one document with a version. The highest version that was committed is in
-force; it is replaced as a whole. Routes are chosen by host and by the longest path
-prefix; a route spreads its requests over services by weight.
+A policy is one document with a version. The highest committed version is in force; it
+is always replaced completely. Routes are chosen by host and by the longest path prefix;
+a route distributes its requests over services by weight.
 """
 
 import enum
@@ -17,13 +17,13 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What a route's requests allow."""
+    """How the requests of a route may be run."""
 
     # May run more than once.
     IDEMPOTENT = "idempotent"
     # Runs at most once.
     NON_IDEMPOTENT = "non-idempotent"
-    # Answered by a stream of events, each sent on as it comes.
+    # Answered by a stream of events, each forwarded as it arrives.
     STREAMING = "streaming"
     # Batches of items that run later.
     BATCH = "batch"
@@ -47,23 +47,23 @@
     path_prefix: str
     kind: RouteKind
     shares: tuple[Share, ...]
-    # Longest time that a caller is kept waiting; 0: not bounded (batches).
+    # Longest time that a caller waits for its answer; 0 if unbounded (batches).
     timeout_seconds: float = 0.0
-    # Time within which an answer has its full value.
+    # Latency up to which an answer is of full value to its caller.
     target_latency_seconds: float = 0.0
     # 0 is the most urgent.
     priority: int = 0
-    # Most upstreams that one request may be sent to.
+    # Highest number of upstreams that one request may be sent to.
     max_attempts: int = 1
-    # A stream may go on at another upstream after the last whole event.
+    # A stream may continue at another upstream after the last complete event.
     is_resumable: bool = False
-    # An item of a batch may be given up this long after the batch was submitted.
+    # How long after its batch was submitted an item may be abandoned.
     max_queue_seconds: float = 0.0
-    # All results of a batch are due this long after it was submitted.
+    # How long after its submission all results of a batch are due.
     result_deadline_seconds: float = 0.0
     # All events of a result must come from one weight version.
     is_single_version: bool = False
-    # Its requests need no key, and belong to no account.
+    # Its requests need no API key and belong to no account.
     is_public: bool = False
 
     def choose_service(self, rng: random.Random) -> str:
@@ -88,17 +88,18 @@
     """One kind of upstream."""
 
     name: str
-    # Most connections that one upstream takes from all processes together.
+    # Highest number of connections that one upstream accepts from all processes
+    # together.
     max_connections: int = 0
-    # Models that the upstreams generate with; none: a plain service.
+    # Models that the upstreams generate with; empty for a plain service.
     models: tuple[str, ...] = ()
-    # Tokens that an engine's memory holds; 0: not told.
+    # Number of tokens that an engine's cache holds; 0 if not given.
     n_cache_tokens: int = 0
 
 
 @attrs.frozen
 class ClientLimits:
-    """What a client of the gateways may send; 0: the process's own limit."""
+    """Limits on what clients may send to gateways; 0 for the process's own limit."""
 
     max_header_bytes: int = 0
     max_body_bytes: int = 0
@@ -115,39 +116,40 @@
     routes: tuple[Route, ...] = ()
     services: tuple[Service, ...] = ()
     limits: ClientLimits = attrs.field(factory=ClientLimits)
-    # Who may send requests; None: requests need no key.
+    # Accounts that may send requests; None if requests need no key.
     accounts: tuple[client_accounts.Account, ...] | None = None
 
 
-# Ranks that an engine tells apart, and those of routes within one account's priority.
+# Number of ranks that an engine distinguishes, and number of route priorities that are
+# distinguished within one account priority.
 _N_RANKS: Final = 10
 _N_ROUTE_RANKS: Final = 3
 
 
 @attrs.frozen(order=True)
 class Precedence:
-    """Whose work goes first where places are short; the lowest first.
+    """Order of requests where capacity is short; the lowest goes first.
 
-    An account's priority goes before its routes': what one account calls urgent must
-    not hold up a more urgent account.
+    The account's priority is compared before the route's, so that the urgent routes of
+    one account do not delay a more urgent account.
     """
 
     account_priority: int = 0
     route_priority: int = 0
 
     def engine_rank(self) -> int:
-        """Return the rank at an engine, 0 first."""
+        """Return the rank at an engine; 0 is served first."""
         route_rank = min(self.route_priority, _N_ROUTE_RANKS - 1)
         rank = self.account_priority * _N_ROUTE_RANKS + route_rank
         return max(0, min(rank, _N_RANKS - 1))
 
 
 class RouteTable:
-    """A policy's routes, by host and with the longest prefix first; its accounts."""
+    """Looks up the routes and accounts of a policy."""
 
     def __init__(self, policy: Policy) -> None:
         self.policy = policy
-        # None: requests need no key.
+        # None if requests need no key.
         self.accounts: client_accounts.AccountTable | None = None
         if policy.accounts is not None:
             self.accounts = client_accounts.AccountTable(policy.accounts)
@@ -173,7 +175,7 @@
         return Precedence(priority, route.priority)
 
     def has_public_batches(self, host: str) -> bool:
-        """Tell whether batches are taken without a key under `host`."""
+        """Return whether batches are accepted without a key under `host`."""
         return any(
             each.is_public and each.kind is RouteKind.BATCH
             for each in self._routes_by_host.get(host.lower(), ())
--- a/bilberrydrum/fleet/policy_check.py
+++ b/bilberrydrum/fleet/policy_check.py
@@ -1,11 +1,11 @@
-"""What makes a traffic policy invalid, all findings together."""
+"""Validation of traffic policies; all findings are reported together."""
 
 from bilberrydrum import findings
 from bilberrydrum.fleet import accounts, policy
 
 
 def check(document: policy.Policy, name: str = "policy") -> list[findings.Finding]:
-    """Return what is wrong with `document`; empty: it may be committed."""
+    """Return the faults of `document`; empty if it may be committed."""
     found: list[str] = []
     known = {each.name for each in document.services}
     if len(known) != len(document.services):
@@ -34,9 +34,9 @@
         if share.weight < 0:
             found.append(f"the weight of {share.service!r} must not be negative")
     if sum(each.weight for each in route.shares) <= 0:
-        found.append("the weights add up to nothing")
+        found.append("the weights must add up to more than 0")
     if route.timeout_seconds <= 0:
         found.append("the timeout must be more than 0")
     if route.max_attempts < 1:
-        found.append("there must be at least one attempt")
+        found.append("the number of attempts must be at least 1")
     return found
--- a/bilberrydrum/fleet/policy_lease.py
+++ b/bilberrydrum/fleet/policy_lease.py
@@ -1,41 +1,44 @@
-"""For how long a process may act on the keys of the policy that it has.
+"""How long a process may accept API keys by the policy that it has.
 
-Answers the load in which a key was taken away and its holder goes on sending, to a
-process that is cut off from the control group, frozen, or has just started: what it
-holds may be older than the change. A process without accounts to check, or one whose
-deployment lets taken keys work on for a while, needs no lease.
+After a key has been revoked its holder may go on sending requests, also to a process
+that is partitioned from the control group, was suspended, or has just started, and
+whose policy may therefore be older than the revocation. The lease bounds the time for
+which such a process accepts the key. A process without accounts to check, or one whose
+deployment sets no bound on revocation, needs no lease.
 """
 
 from typing import Final
 
 import attrs
 
-# Share of the time within which a taken key must be dead everywhere. The rest is for
-# what follows the last look at the lease: the request's way to the upstream, and the
-# difference between two hosts' clocks. Eight renewals of half a second fit into a bound
-# of 5 s, so that an election of the control leader (1.3 s) costs no request.
+# Share of the revocation bound for which a confirmation is valid. The rest covers what
+# follows the last check of the lease: sending the request to the upstream, and the
+# difference between the clocks of two hosts. With a bound of 5 s the lease lasts for
+# eight renewals of half a second, so an election of the control leader (1.3 s) causes
+# no refusals.
 _LEASE_SHARE: Final = 0.8
 
 
 @attrs.define
 class PolicyLease:
-    """When the control leader last said that the policy here is the newest."""
+    """When the control leader last confirmed that the policy here is the newest."""
 
-    # Time within which a taken key must be dead everywhere, in seconds; 0: no bound.
+    # Time within which a revoked key must be refused everywhere, in seconds; 0 if
+    # unbounded.
     revocation_seconds: float = 0.0
-    # Sending time of the latest renewal that was answered, in seconds of `clock.now`.
+    # When the latest answered renewal was sent, in seconds of `clock.now`.
     confirmed_at: float = float("-inf")
 
     def confirm(self, asked_at: float) -> None:
-        """Note the answer to a renewal that was sent at `asked_at`.
+        """Record the answer to a renewal that was sent at `asked_at`.
 
-        Counted from the sending: the answer may have been under way for long, and a key
-        may have been taken away meanwhile.
+        The lease starts when the renewal was sent, as the answer may have been delayed
+        and a key revoked in the meantime.
         """
         self.confirmed_at = max(self.confirmed_at, asked_at)
 
     def is_valid(self, now: float) -> bool:
-        """Tell whether keys may be judged by the policy here."""
+        """Return whether keys may be checked by the policy here."""
         if not self.revocation_seconds:
             return True
         return now - self.confirmed_at < self.revocation_seconds * _LEASE_SHARE
--- a/bilberrydrum/fleet/retirement.py
+++ b/bilberrydrum/fleet/retirement.py
@@ -1,4 +1,4 @@
-"""When a store may be emptied, and when it is empty."""
+"""When a store may be retired, and when its retirement is complete."""
 
 from collections.abc import Collection, Iterable
 
@@ -9,10 +9,10 @@
 
 @attrs.frozen
 class Report:
-    """What a leader of the stores' group says of the replicas with a vote."""
+    """The voting replicas, as a leader of the stores' group reports them."""
 
     term: int
-    # Index of the registry that it acts on.
+    # Index of the registry that the leader has.
     registry_index: int
     voter_addresses: tuple[str, ...]
 
@@ -23,7 +23,7 @@
     live_addresses: Collection[str],
     n_voters: int,
 ) -> bool:
-    """Tell whether enough stores are left to hold all replicas without `store`."""
+    """Return whether the other stores suffice to hold all replicas."""
     others = [
         each
         for each in stores
@@ -35,11 +35,12 @@
 
 
 def is_done(store: model.Store, reports: Collection[Report], n_voters: int) -> bool:
-    """Tell whether the group goes on without `store` and will not take it back.
+    """Return whether another replica has replaced `store` and it cannot rejoin.
 
-    Its place must be taken: gone before that, the group would not bear the loss of
-    another disk. Only the newest leader's word counts, and only once it knows of the
-    retirement: it could otherwise still choose the store to replace a lost one.
+    The group must have its full number of voters again, as it could otherwise not
+    tolerate the loss of another disk once the store is removed. Only the report of the
+    leader with the highest term counts, and only once that leader knows of the
+    retirement, as it might otherwise still choose the store to replace a lost replica.
     """
     if not reports:
         return False
--- a/bilberrydrum/fleet/store_calls.py
+++ b/bilberrydrum/fleet/store_calls.py
@@ -1,6 +1,6 @@
-"""What the control group's leader does for the stores: founding and retirement.
+"""Bootstrap of the stores' group and retirement of stores, by the control leader.
 
-The decisions are in `founding` and `retirement`.
+The decisions are made in `bootstrap` and `retirement`.
 """
 
 from collections.abc import Callable
@@ -9,44 +9,44 @@
 import eliot
 
 from bilberrydrum import clock, transport
-from bilberrydrum.fleet import commands, founding, messages, retirement, subscribers
+from bilberrydrum.fleet import bootstrap, commands, messages, retirement, subscribers
 from bilberrydrum.state import replica
 
-# Stores that start with the deployment are waited for this long after the first one,
-# so that the group starts with all of them; they start within 0.3 s of each other and
-# need some 0.5 s to get here.
-GATHER_SECONDS: Final = 1.5
+# How long the leader waits after the first store has asked to bootstrap the group, in
+# seconds, so that it chooses among all stores that start with the deployment. They
+# start within 0.3 s of each other, and their requests arrive some 0.5 s later.
+BOOTSTRAP_WAIT_SECONDS: Final = 1.5
 
 
 class StoreCalls:
-    """The part of the leader that concerns the stores."""
+    """The part of the leader that handles the stores."""
 
     def __init__(
         self,
         replica_: replica.Replica,
         known: subscribers.Subscribers,
         n_voters: int,
-        led_seconds: Callable[[], float],
+        seconds_as_leader: Callable[[], float],
     ) -> None:
-        """Make the part.
+        """Make the handler of one leader.
 
         Parameters
         ----------
         n_voters : int
-            Replicas that the stores' group keeps.
+            Number of voting replicas of the stores' group.
         led_seconds : callable
-            Returns for how long this replica has led.
+            Returns for how many seconds this replica has been the leader.
         """
         self._replica = replica_
         self._subscribers = known
         self._n_voters = n_voters
-        self._led_seconds = led_seconds
-        # When stores asked to found the group, by address.
-        self._founders: dict[str, float] = {}
+        self._seconds_as_leader = seconds_as_leader
+        # When each store first asked to be an initial member of the group, by address.
+        self._bootstrap_requests: dict[str, float] = {}
 
     def clear(self) -> None:
-        """Forget who has asked: they ask each new leader."""
-        self._founders.clear()
+        """Forget the requests to bootstrap; stores repeat them to each new leader."""
+        self._bootstrap_requests.clear()
 
     def _section(self) -> commands.Section:
         return commands.section_of(self._replica.state())
@@ -54,34 +54,37 @@
     def _commit(self, command: object) -> bool:
         return self._replica.propose(command, commands.COMMIT_SECONDS).is_ok()
 
-    def note(self, message: messages.Subscribe) -> None:
-        """Note a store that renews."""
+    def record_store(self, message: messages.Subscribe) -> None:
+        """Record a store that has renewed its subscription."""
         command = commands.PutStore(
             message.store_name, message.store_address, message.store_zone
         )
-        if not self._section().holds_store(command):
+        if not self._section().is_store_recorded(command):
             self._commit(command)
         if message.may_found:
-            self._founders.setdefault(message.store_address, clock.now())
+            self._bootstrap_requests.setdefault(message.store_address, clock.now())
 
-    def choose_founders(self) -> None:
-        """Choose who starts the stores' group, once all have had time to ask."""
-        if not self._founders or self._section().founder_addresses:
+    def choose_initial_members(self) -> None:
+        """Choose the initial members of the group once all stores had time to ask."""
+        if not self._bootstrap_requests or self._section().founder_addresses:
             return
-        if clock.now() - min(self._founders.values()) < GATHER_SECONDS:
+        if (
+            clock.now() - min(self._bootstrap_requests.values())
+            < BOOTSTRAP_WAIT_SECONDS
+        ):
             return
         stores = self._section().stores_by_name.values()
         zones = {each.address: each.availability_zone for each in stores}
-        addresses = founding.choose(self._founders, zones, self._n_voters)
-        if self._commit(commands.FoundStores(addresses)):
-            eliot.log_message(message_type="stores:founded", addresses=addresses)
+        addresses = bootstrap.choose(self._bootstrap_requests, zones, self._n_voters)
+        if self._commit(commands.BootstrapStores(addresses)):
+            eliot.log_message(message_type="stores:bootstrapped", addresses=addresses)
 
     def on_begin_retirement(
         self, sender: transport.Sender, message: messages.BeginRetirement
     ) -> Any:
-        """Have a store emptied, if enough others are there."""
-        if self._led_seconds() <= subscribers.SUBSCRIBER_SECONDS:
-            # Too early to know who is there.
+        """Start the retirement of a store, if enough other stores are running."""
+        if self._seconds_as_leader() <= subscribers.SUBSCRIPTION_SECONDS:
+            # Too early in the term to know which stores are running.
             return None
         section = self._section()
         known = section.stores_by_name.get(message.name)
@@ -106,7 +109,7 @@
     def on_read_retirement(
         self, sender: transport.Sender, message: messages.ReadRetirement
     ) -> Any:
-        """Tell how far the emptying of a store is."""
+        """Return the progress of a store's retirement."""
         known = self._section().stores_by_name.get(message.name)
         if known is None or not known.retiring_index:
             return messages.Retirement(is_known=known is not None)
--- a/bilberrydrum/fleet/subscriber.py
+++ b/bilberrydrum/fleet/subscriber.py
@@ -1,10 +1,10 @@
-"""A process's copy of the policy and the registry, kept up by the control leader.
+"""A process's copy of the policy and the registry, updated by the control leader.
 
-The leader pushes each change at once; the renewal, twice a second, fetches what was
-lost on the way and finds a new leader. A copy never goes back: what comes with a lower
-index is older and is dropped. A process that reaches no leader goes on with what it
-has, as its requests would gain nothing by being refused; only keys are judged no longer
-than the policy's lease runs (see `policy_lease`).
+The leader pushes changes. The renewal, twice a second, fetches what was lost on the way
+and finds a new leader. A copy never goes back to an older state: data with a lower
+index is discarded. A process that reaches no leader continues with the copy that it
+has, as refusing requests would not help their callers. Only API keys are checked no
+longer than the policy's lease lasts (see `policy_lease`).
 """
 
 from collections.abc import Callable
@@ -21,15 +21,15 @@
 from bilberrydrum.state import leader_calls
 
 RENEW_SECONDS: Final = 0.5
-# Shortest time between two renewals, whoever asks for one, in seconds: callers with
-# wrong keys must not make each gateway ask the leader as fast as it answers.
+# Minimum time between two renewals, in seconds. Without it, callers with wrong keys
+# would make each gateway send renewals as fast as the leader answers them.
 _MIN_RENEW_SECONDS: Final = 0.1
-# Time for one renewal, over all control processes.
+# Timeout of one renewal in seconds, including retries at other control processes.
 _CALL_SECONDS: Final = 2.0
 
 
 class Subscriber:
-    """The task that keeps the copy."""
+    """Keeps the copy up to date in a task of its own."""
 
     def __init__(
         self,
@@ -44,12 +44,12 @@
         Parameters
         ----------
         make_request : callable
-            Returns a renewal with what this process tells of itself.
+            Returns a renewal with the data that this process sends about itself.
         revocation_seconds : float
-            Time within which a key that was taken away must be dead; 0: no bound.
+            Time within which a revoked key must be refused; 0 if unbounded.
         on_answer : callable
-            Told the answer to each renewal, and when the renewal was sent, in seconds
-            of `clock.now`; it must not block.
+            Called with the answer to each renewal, and when the renewal was sent, in
+            seconds of `clock.now`; it must not block.
         """
         self._carrier = carrier
         self._calls = calls
@@ -58,40 +58,40 @@
         self.routes = policy.RouteTable(policy.Policy(0))
         self.registry = model.Registry()
         self.policy_lease = policy_lease.PolicyLease(revocation_seconds)
-        # What is held against requests that end upstreams.
+        # The record of requests that crash upstreams.
         self.crashes = quarantine.Book()
         self.crashes_index = 0
         self._policy_index = 0
         self._is_connected = False
         self._watchers: list[Callable[[], None]] = []
         self._task: Any = None
-        # Sent when somebody asks for a renewal before its time.
-        self._hurried = eventlet.event.Event()
+        # Sent when a renewal is requested before it is due.
+        self._renewal_requested = eventlet.event.Event()
         # Sent after each renewal that was answered.
         self._confirmed = eventlet.event.Event()
 
     @property
     def has_policy(self) -> bool:
-        """Whether there is a policy to act on."""
+        """Whether this process has received a policy."""
         return self._policy_index > 0
 
     def is_policy_confirmed(self) -> bool:
-        """Tell whether keys may be judged by the policy here."""
+        """Return whether keys may be checked by the policy here."""
         return self.policy_lease.is_valid(clock.now())
 
     def confirm(self, timeout: float) -> bool:
-        """Wait until the leader has said that there is no newer policy as of now.
+        """Wait until the leader has confirmed the policy as of this call.
 
         Returns
         -------
         bool
-            False if it has not said so within `timeout` seconds.
+            False if it has not confirmed it within `timeout` seconds.
         """
         asked_at = clock.now()
         with eventlet.Timeout(timeout, False):
             while self.policy_lease.confirmed_at < asked_at:
-                if not self._hurried.ready():
-                    self._hurried.send(None)
+                if not self._renewal_requested.ready():
+                    self._renewal_requested.send(None)
                 self._confirmed.wait()
         return self.policy_lease.confirmed_at >= asked_at
 
@@ -100,16 +100,16 @@
         self._watchers.append(callback)
 
     def unwatch(self, callback: Callable[[], None]) -> None:
-        """Call `callback` no more."""
+        """Stop calling `callback`."""
         self._watchers.remove(callback)
 
     def start(self) -> None:
-        """Start to renew."""
+        """Start renewing."""
         self._carrier.on(messages.Feed, self._on_feed)
         self._task = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop to renew."""
+        """Stop renewing."""
         if self._task is not None:
             self._task.kill()
             self._task = None
@@ -120,13 +120,13 @@
             try:
                 self.renew()
             except Exception:
-                # Were this task to end, this process would refuse all work as soon as
-                # its policy's time is up.
+                # If this task ended, this process would refuse all requests as soon as
+                # the lease of its policy expires.
                 eliot.write_traceback()
             self._wait_for_renewal(asked_at)
 
     def renew(self, timeout: float = _CALL_SECONDS) -> None:
-        """Ask the leader for what is new, and take it."""
+        """Fetch changes from the leader and apply them."""
         asked_at = clock.now()
         request = attrs.evolve(
             self._make_request(),
@@ -136,9 +136,9 @@
             unix_time=clock.unix_now(),
         )
         answer = self._calls.call(request, timeout)
-        self._note_connection(answer.is_ok())
+        self._record_connection(answer.is_ok())
         if isinstance(answer, result.Ok):
-            self._take(answer.ok_value)
+            self._apply(answer.ok_value)
             self._on_answer(answer.ok_value, asked_at)
             self.policy_lease.confirm(asked_at)
             self._confirmed.send(None)
@@ -146,11 +146,11 @@
 
     def _wait_for_renewal(self, asked_at: float) -> None:
         with eventlet.Timeout(RENEW_SECONDS, False):
-            self._hurried.wait()
-        self._hurried = eventlet.event.Event()
+            self._renewal_requested.wait()
+        self._renewal_requested = eventlet.event.Event()
         clock.sleep(max(asked_at + _MIN_RENEW_SECONDS - clock.now(), 0.0))
 
-    def _note_connection(self, is_connected: bool) -> None:
+    def _record_connection(self, is_connected: bool) -> None:
         if is_connected == self._is_connected:
             return
         self._is_connected = is_connected
@@ -170,25 +170,29 @@
             )
 
     def _on_feed(self, sender: transport.Sender, feed: messages.Feed) -> None:
-        self._take(feed)
+        self._apply(feed)
 
-    def _take(self, feed: messages.Feed) -> None:
+    def _apply(self, feed: messages.Feed) -> None:
         self._calls.learn(feed.control_addresses)
         is_changed = False
         try:
-            for take in (self._take_policy, self._take_registry, self._take_crashes):
-                is_changed |= take(feed)
+            for apply_part in (
+                self._apply_policy,
+                self._apply_registry,
+                self._apply_crashes,
+            ):
+                is_changed |= apply_part(feed)
         finally:
             if is_changed:
                 for callback in self._watchers:
                     callback()
 
-    def _take_policy(self, feed: messages.Feed) -> bool:
-        """Take a newer policy; return whether there is one."""
+    def _apply_policy(self, feed: messages.Feed) -> bool:
+        """Apply a newer policy; return whether there was one."""
         if not feed.policy or feed.policy_index <= self._policy_index:
             return False
-        # Read before it is held for known: what cannot be read would not be sent again,
-        # and the next renewal would confirm the policy of before.
+        # Decoded before the index is advanced. Otherwise a policy that can't be decoded
+        # would not be sent again, and the next renewal would confirm the old policy.
         self.routes = policy.RouteTable(codec.decode(feed.policy))
         self._policy_index = feed.policy_index
         eliot.log_message(
@@ -196,17 +200,17 @@
         )
         return True
 
-    def _take_registry(self, feed: messages.Feed) -> bool:
-        """Take a newer registry; return whether there is one."""
-        registry = self._fed_registry(feed)
+    def _apply_registry(self, feed: messages.Feed) -> bool:
+        """Apply a newer registry; return whether there was one."""
+        registry = self._newer_registry(feed)
         if registry is None:
             return False
         before, self.registry = self.registry, registry
         _log_registry(before, registry)
         return True
 
-    def _take_crashes(self, feed: messages.Feed) -> bool:
-        """Take what is newly held against requests; return whether there is any."""
+    def _apply_crashes(self, feed: messages.Feed) -> bool:
+        """Apply a newer record of crashes; return whether there was one."""
         if not feed.crashes or feed.crashes_index <= self.crashes_index:
             return False
         self.crashes = codec.decode(feed.crashes)
@@ -214,19 +218,21 @@
         _log_crashes(self.crashes_index, self.crashes)
         return True
 
-    def _fed_registry(self, feed: messages.Feed) -> model.Registry | None:
-        """Return the newer registry in `feed`; None: there is none.
+    def _newer_registry(self, feed: messages.Feed) -> model.Registry | None:
+        """Return the newer registry in `feed`, or None if there is none.
 
-        A change for another state follows one that was lost; the next renewal tells
-        what is here and fetches what lacks.
+        A change that does not apply to the registry here follows one that was lost. The
+        next renewal sends the index of the registry here and fetches the missing part.
         """
         if feed.registry_index <= self.registry.index:
             return None
         if feed.registry:
-            whole: model.Registry = codec.decode(feed.registry)
-            return whole
+            full: model.Registry = codec.decode(feed.registry)
+            return full
         if feed.registry_change:
-            return changes.changed(self.registry, codec.decode(feed.registry_change))
+            return changes.apply_change(
+                self.registry, codec.decode(feed.registry_change)
+            )
         return None
 
 
@@ -236,7 +242,7 @@
         for fingerprint, each in book.evidence_by_fingerprint.items()
     }
     eliot.log_message(
-        message_type="crashes:taken",
+        message_type="crashes:updated",
         index=index,
         n_requests=len(standings),
         quarantined=sorted(
@@ -251,7 +257,7 @@
     known = before.upstreams_by_id.keys()
     present = after.upstreams_by_id.keys()
     eliot.log_message(
-        message_type="registry:taken",
+        message_type="registry:updated",
         index=after.index,
         index_before=before.index,
         n_upstreams=len(present),
--- a/bilberrydrum/nodes/__init__.py
+++ b/bilberrydrum/nodes/__init__.py
@@ -1,1 +1,1 @@
-"""Processes of one role each: gateways, control processes and stores."""
+"""Processes with one role each: gateways, control processes and stores."""
--- a/bilberrydrum/nodes/control.py
+++ b/bilberrydrum/nodes/control.py
@@ -1,7 +1,7 @@
-"""The control process: a replica of the control group, and the way to its leader.
+"""The control process: a replica of the control group, and calls to its leader.
 
-The group's log holds commands of `fleet.commands` only, so no other part of the state
-machine is imported: that would double the time to start.
+Only the modules whose commands can be in the group's log are imported. Importing the
+other parts of the state machine would double the time to start.
 """
 
 from typing import TYPE_CHECKING
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from bilberrydrum.usage import reporter
 
-# An upstream is called silent after this many announcements that did not come.
+# An upstream is marked silent after this many announcement intervals without one.
 _MISSED_ANNOUNCEMENTS = 3.5
 
 
@@ -30,7 +30,7 @@
     ) -> None:
         """Make the parts; nothing runs before `start`.
 
-        `reports` says how use is reported; None: it is not.
+        `reports` is the protocol of usage reports; None if usage is not reported.
         """
         self._link = links.ControlLink(node)
         self.calls = self._link.calls
@@ -52,16 +52,16 @@
         self.service.start()
 
     def failure(self) -> str:
-        """Return why the process cannot go on; empty: it can."""
+        """Return why the process must exit, or an empty string."""
         return groups.failure_of(self.replica)
 
     def learn_seeds(self, addresses: tuple[str, ...]) -> None:
-        """Take over control addresses from changed settings."""
+        """Add control addresses from changed settings."""
         self.calls.learn(addresses)
         self.replica.learn(addresses)
 
     def stop(self) -> None:
-        """End all tasks; the leadership is handed over."""
+        """Stop all tasks; a leadership is handed over."""
         self.service.stop()
         self.replica.stop()
         self._link.carrier.stop()
@@ -74,7 +74,8 @@
 ) -> "reporter.UsageReporter | None":
     if node.usage is None or reports is None:
         return None
-    # Imported where it is needed: the HTTP client takes 23 ms of each start, 1.6 MB.
+    # Imported only where usage is reported, as the HTTP client adds 23 ms to each start
+    # and 1.6 MB of memory.
     from bilberrydrum.requests import connections, single_calls
     from bilberrydrum.usage import reporter
 
--- a/bilberrydrum/nodes/gateway.py
+++ b/bilberrydrum/nodes/gateway.py
@@ -1,7 +1,7 @@
-"""The gateway: serves clients, keeps nothing.
+"""The gateway: serves clients and has no persistent state.
 
-All gateways may die together: what must outlive them is at the control group and at the
-stores.
+All gateways may crash at once, as all state that must survive them is kept by the
+control group and the stores.
 """
 
 import random
@@ -17,11 +17,12 @@
 from bilberrydrum.requests import attempts, connections, watch
 from bilberrydrum.usage import meter as usage_meter
 
-# When to come back to a gateway that has just started, in seconds: all processes
-# started together have a policy after some 1.5 s.
+# When clients should retry at a gateway without a policy, in seconds. If all processes
+# start together, gateways have a policy after some 1.5 s.
 NO_POLICY_RETRY_SECONDS: Final = 0.5
-# Time for a stopping gateway to tell what it has counted: the leader and one other
-# control process can be asked, and the process still ends in time.
+# Timeout in seconds for a stopping gateway to send its last usage counts. It suffices
+# for calls to the leader and one other control process, and the gateway still stops
+# within the time that it has.
 LAST_RENEWAL_SECONDS: Final = 0.8
 
 
@@ -45,7 +46,7 @@
             node.revocation_seconds,
             self._on_answer,
         )
-        self.view.watch(self._on_news)
+        self.view.watch(self._on_registry_change)
         self.store_calls = self._stores.calls
         self._clients = watch.Watch()
         self._pool = connections.Connections()
@@ -77,14 +78,15 @@
                 feed.unix_time, asked_at, clock.now(), feed.usage_closed_before
             )
 
-    def _on_news(self) -> None:
+    def _on_registry_change(self) -> None:
         stores = self.view.registry.stores
         self.store_calls.learn([each.address for each in stores])
 
     def is_ready(self) -> bool:
-        """Tell whether new clients should be sent here.
+        """Return whether the balancer should send new clients here.
 
-        Not while keys cannot be judged here: another gateway may serve them at once.
+        False while keys cannot be checked, as another gateway may be able to serve the
+        clients at once.
         """
         if not self.view.has_policy or self.is_draining:
             return False
@@ -93,7 +95,7 @@
     def find_route(
         self, request_id: str, host: str, path: str
     ) -> policy.Route | relay_model.Refused:
-        """Return the route of a request, or why it is not served."""
+        """Return the route of a request, or its refusal."""
         if not self.view.has_policy:
             reason = reasons.Reason.NO_BUNDLE
             refused = relay_model.Refused(reason, False, NO_POLICY_RETRY_SECONDS)
@@ -114,7 +116,7 @@
         return refused
 
     def begin_draining(self) -> None:
-        """Ask for no more new clients: the process is going to stop."""
+        """Report not ready, as the process is going to stop."""
         self.is_draining = True
 
     def start(self) -> None:
@@ -126,25 +128,25 @@
         self._crashes.start()
 
     def failure(self) -> str:
-        """Return why the process cannot go on; a gateway always can."""
+        """Return an empty string: a gateway never has to exit by itself."""
         return ""
 
     def learn_seeds(self, addresses: tuple[str, ...]) -> None:
-        """Take over control addresses from changed settings."""
+        """Add control addresses from changed settings."""
         self._control.calls.learn(addresses)
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Stop all tasks."""
         self._crashes.stop()
         self.view.stop()
-        self._tell_last_counts()
+        self._send_last_counts()
         self._clients.stop()
         self._pool.close()
         self._control.carrier.stop()
         self._stores.carrier.stop()
 
-    def _tell_last_counts(self) -> None:
-        """Tell what was counted since the last renewal; nobody else knows it."""
+    def _send_last_counts(self) -> None:
+        """Send the usage counted since the last renewal; only this process has it."""
         if self._meter is not None:
             self._meter.is_stopping = True
             self.view.renew(LAST_RENEWAL_SECONDS)
--- a/bilberrydrum/nodes/groups.py
+++ b/bilberrydrum/nodes/groups.py
@@ -9,31 +9,35 @@
 from bilberrydrum.nodes import options as node_options
 from bilberrydrum.state import replica, storage
 
-# The control group keeps at most this many votes; more would only make commits wait
-# for more disks.
+# Maximum number of voters in the control group, unless tolerating the configured losses
+# takes more. Further voters would only make commits wait for more disks.
 MAX_CONTROL_VOTERS: Final = 5
-# Heartbeats and elections: a lost leader is replaced within some 1.3 s, at 7 heartbeats
-# a second for each replica. A replica that starts leaves an earlier leader alone for
-# one election timeout, so this is also what a restart of all replicas waits for.
+# With these values a lost leader is replaced within some 1.3 s, at a cost of 7
+# heartbeats a second for each replica. A replica that starts joins no election for one
+# election timeout, as an earlier leader may still be running. So a restart of all
+# replicas waits for it too.
 HEARTBEAT_SECONDS: Final = 0.15
 ELECTION_TIMEOUT_SECONDS: Final = 0.6
-# Batches make the log grow by some 150 KB a second; memory for it is bounded here.
+# Bound on the memory for the stores' log, which grows by some 150 KB a second while
+# batches run.
 _STORE_LOG_BYTES: Final = 8 * 1024 * 1024
-# The stores' leader never hands over for a snapshot: all items that run would be broken
-# off, which costs seconds, and the state is nearly all bytes that are only copied.
+# State size above which a leader hands over before it takes a snapshot, in bytes. With
+# this value the stores' leader never does. A handover would cancel all running items,
+# which costs seconds, while the snapshot is fast, as nearly all of the state is byte
+# strings that are only copied.
 _STORE_HANDOVER_BYTES: Final = 1024 * 1024 * 1024
 _SNAPSHOT_ENTRIES: Final = 4_000
 
 
 def control_options(node: node_options.NodeOptions) -> options.Options:
     """Return the options of a control process's replica."""
-    founders = node.seed_addresses
-    may_found = node.is_first_start and node.control_address in founders
+    initial_members = node.seed_addresses
+    may_found = node.is_first_start and node.control_address in initial_members
     return _options(
         node.control_address,
         node_options.CONTROL_GROUP,
         options.StateOptions(
-            members=_members(founders),
+            members=_members(initial_members),
             data_folder=node.data_folder,
             heartbeat_seconds=HEARTBEAT_SECONDS,
             election_timeout_seconds=ELECTION_TIMEOUT_SECONDS,
@@ -46,15 +50,15 @@
 
 
 def store_options(
-    node: node_options.NodeOptions, founders: Sequence[str]
+    node: node_options.NodeOptions, initial_members: Sequence[str]
 ) -> options.Options:
-    """Return the options of a store's replica; `founders` start the group."""
-    may_found = node.is_first_start and node.store_address in founders
+    """Return the options of a store's replica; `initial_members` start the group."""
+    may_found = node.is_first_start and node.store_address in initial_members
     return _options(
         node.store_address,
         node_options.STORE_GROUP,
         options.StateOptions(
-            members=_members(founders),
+            members=_members(initial_members),
             data_folder=node.data_folder,
             heartbeat_seconds=HEARTBEAT_SECONDS,
             election_timeout_seconds=ELECTION_TIMEOUT_SECONDS,
@@ -69,9 +73,10 @@
 
 
 def start_replica(replica_: replica.Replica) -> None:
-    """Start a replica; one whose folder is damaged is left stopped.
+    """Start a replica; it stays stopped if its data folder is damaged.
 
-    The process then ends and joins again as a new replica: the group has its data.
+    The process then exits, restarts and joins as a new replica, which gets its data
+    from the group.
     """
     try:
         replica_.start()
@@ -85,10 +90,10 @@
 
 
 def failure_of(replica_: replica.Replica) -> str:
-    """Return why the process of `replica_` is to end; empty: it is not.
+    """Return why the process of `replica_` must exit, or an empty string.
 
-    A replica whose disk refuses writes waits for the disk first: started again before
-    that, its process would end again and again.
+    While the disk of a failed replica refuses writes, the process keeps running, as it
+    would otherwise restart and exit repeatedly.
     """
     failure = replica_.failure
     if failure and replica_.waits_for_disk():
@@ -99,7 +104,7 @@
 
 
 def _members(addresses: Sequence[str]) -> tuple[options.Member, ...]:
-    # A process is known by its address: nobody names the hosts in advance.
+    # The address is also the id of the process, as the hosts are not listed in advance.
     return tuple(options.Member(each, each) for each in addresses)
 
 
--- a/bilberrydrum/nodes/links.py
+++ b/bilberrydrum/nodes/links.py
@@ -6,7 +6,7 @@
 
 
 class ControlLink:
-    """The way to the control group's leader."""
+    """The transport to the control group and calls to its leader."""
 
     def __init__(self, node: options.NodeOptions) -> None:
         address = node.control_address
@@ -16,7 +16,10 @@
 
 
 class StoreLink:
-    """The way to the stores' leader; its addresses come with the registry."""
+    """The transport to the stores' group and calls to its leader.
+
+    The stores' addresses come with the registry.
+    """
 
     def __init__(self, node: options.NodeOptions) -> None:
         address = node.store_address
--- a/bilberrydrum/nodes/options.py
+++ b/bilberrydrum/nodes/options.py
@@ -13,7 +13,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a process does."""
+    """The role of a process."""
 
     GATEWAY = "gateway"
     CONTROL = "control"
@@ -36,39 +36,40 @@
     control_address: str
     # Address of this process in the stores' group's transport.
     store_address: str
-    # Control processes that were there when the settings were written.
+    # Addresses of the control processes at the time when the settings were written.
     seed_addresses: tuple[str, ...]
-    # The whole deployment starts for the first time, with empty disks.
+    # Whether the complete deployment starts for the first time, with empty disks.
     is_first_start: bool = False
-    # Folder on the process's own disk; empty: it has none.
+    # Folder on the process's own disk; empty if it has none.
     data_folder: str = ""
-    # Where clients of the role are served.
+    # Address at which clients of the role are served.
     http_address: str = ""
-    # Where the balancer asks whether a gateway takes new connections.
+    # Address at which the balancer asks whether a gateway accepts new connections.
     ready_address: str = ""
-    # Where counters and histograms are served.
+    # Address at which counters and histograms are served.
     metrics_address: str = ""
-    # Processes with a disk that may be lost at the same time.
+    # Number of processes with a disk whose simultaneous loss is tolerated.
     n_losses: int = 1
-    # How often upstreams announce themselves.
+    # Interval between the announcements of an upstream.
     announce_seconds: float = 1.0
-    # How long an ended batch can be read, from its submission on.
+    # How long after its submission a finished batch can be read.
     retention_seconds: float = 120.0
-    # Upstreams refuse an order with a lower fencing number than one they have seen.
+    # Whether upstreams refuse orders with a lower fencing number than they have seen.
     do_upstreams_check_fencing: bool = True
-    # Time within which a key that was taken away must be dead on every process, also on
-    # one that is cut off; 0: no bound.
+    # Time within which every process must refuse a revoked key, also a process that is
+    # partitioned from the others; 0 if unbounded.
     revocation_seconds: float = 0.0
-    # Time between the orders of two holders to upstreams that do not.
+    # Minimum time between the orders of two successive lease holders. Applies where the
+    # upstreams do not check fencing numbers.
     order_lease_seconds: float = 3.0
-    # How use is reported; None: it is not.
+    # How usage is reported; None if it is not.
     usage: usage_model.UsageOptions | None = None
-    # Time that a stopping process has.
+    # Time within which a process has to stop.
     shutdown_seconds: float = 8.0
-    # IP that the transports bind where it is not that of their addresses.
+    # IP that the transports bind to, if it differs from that of their addresses.
     bind_host: str = ""
     limits: options.LimitOptions = attrs.field(factory=options.LimitOptions)
 
     def n_voters(self) -> int:
-        """Return how many replicas bear the losses and still have a majority."""
+        """Return how many replicas still have a majority after `n_losses` losses."""
         return 2 * self.n_losses + 1
--- a/bilberrydrum/nodes/process.py
+++ b/bilberrydrum/nodes/process.py
@@ -1,4 +1,4 @@
-"""The life of a process of one role: start, signals, graceful stop."""
+"""Process lifecycle: start, signal handling, reload of settings, graceful stop."""
 
 import gc
 import os
@@ -19,33 +19,34 @@
 _POLL_SECONDS: Final = 0.02
 _WATCH_SECONDS: Final = 0.5
 EXIT_FAILED: Final = 1
-# How often a change of the settings file without a signal is looked for, in seconds.
+# How often the settings file is checked for changes without a signal, in seconds.
 SETTINGS_SECONDS: Final = 2.0
-# Two questions of the balancer without a good answer, one a second, take a process out.
+# How long the balancer may go on sending new clients, in seconds. It removes a process
+# after two failed readiness checks, one a second.
 BALANCER_SECONDS: Final = 2.3
-# Share of the time for stopping that requests under way may use; the rest is for
-# handing leaderships over and closing.
+# Share of the shutdown time in which running requests may complete. The rest is for
+# handing over leaderships and closing connections.
 _DRAIN_SHARE: Final = 0.8
 
 
 class Node(Protocol):
-    """What a process runs."""
+    """The parts that a process runs."""
 
     def start(self) -> None:
         """Start all tasks."""
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Stop all tasks."""
 
     def learn_seeds(self, addresses: tuple[str, ...]) -> None:
-        """Take over control addresses from changed settings."""
+        """Add control addresses from changed settings."""
 
     def failure(self) -> str:
-        """Return why the node cannot go on; empty: it can."""
+        """Return why the process must exit, or an empty string."""
 
 
 class Process:
-    """One node, its HTTP servers, and the signals."""
+    """Runs one node and its HTTP servers, and handles signals."""
 
     def __init__(
         self,
@@ -63,10 +64,10 @@
         Parameters
         ----------
         settings_stamp : callable
-            Returns what differs once the settings have changed; they may change
-            without a signal.
+            Returns a value that differs once the settings have changed. It detects
+            changes without a signal.
         stamp_read : object
-            What it returned before the options were read.
+            The value that it returned before the options were read.
         """
         self._options = node_options
         self._node = node
@@ -80,18 +81,18 @@
             server.HttpServer(address, each, node_options.limits)
             for address, each in edges_by_address.items()
         ]
-        self._stop_asked = eventlet.event.Event()
+        self._stop_requested = eventlet.event.Event()
 
     def run(self) -> None:
-        """Start, and return once a signal has stopped the process gracefully."""
+        """Start the node, and return after a signal has stopped it gracefully."""
         signal.signal(signal.SIGTERM, self._on_terminate)
         signal.signal(signal.SIGINT, self._on_terminate)
         signal.signal(signal.SIGHUP, self._on_hangup)
         self._node.start()
         for each in self._servers:
             each.start()
-        # What was made until now stays for good; walking through it in each full
-        # collection would hold up all requests meanwhile.
+        # The objects created until now live as long as the process. If the garbage
+        # collector traversed them in each full collection, it would delay all requests.
         gc.freeze()
         gc.enable()
         eliot.log_message(
@@ -102,7 +103,7 @@
             is_first_start=self._options.is_first_start,
         )
         watcher = eventlet.spawn(self._watch)
-        self._stop_asked.wait()
+        self._stop_requested.wait()
         watcher.kill()
         self._drain()
         self._node.stop()
@@ -110,12 +111,12 @@
         self._flush_log()
 
     def _watch(self) -> None:
-        """End the process when its node cannot go on; read changed settings.
+        """Exit when the node has failed; reload the settings when they change.
 
-        A replica that has stopped would leave the process there, alive and without
-        use. Started again, it opens its folder anew or joins as a new replica.
+        If its replica has stopped, the process would keep running to no use. After a
+        restart the replica reopens its data folder or joins as a new replica.
         """
-        look_at = clock.now() + SETTINGS_SECONDS
+        next_check_at = clock.now() + SETTINGS_SECONDS
         while True:
             clock.sleep(_WATCH_SECONDS)
             failure = self._node.failure()
@@ -123,29 +124,29 @@
                 eliot.log_message(message_type="process:failed", detail=failure)
                 self._flush_log()
                 os._exit(EXIT_FAILED)
-            if clock.now() >= look_at:
-                look_at = clock.now() + SETTINGS_SECONDS
+            if clock.now() >= next_check_at:
+                next_check_at = clock.now() + SETTINGS_SECONDS
                 if self._settings_stamp() != self._stamp_read:
                     self._reload()
 
     def _on_terminate(self, number: int, frame: types.FrameType | None) -> None:
-        # A handler runs between two steps of any task, so it only schedules.
-        _schedule(self._ask_to_stop)
+        # A signal handler can interrupt any task between two instructions, so it only
+        # schedules the work.
+        _schedule(self._request_stop)
 
     def _on_hangup(self, number: int, frame: types.FrameType | None) -> None:
         _schedule(self._reload)
 
-    def _ask_to_stop(self) -> None:
-        if not self._stop_asked.ready():
-            self._stop_asked.send(None)
+    def _request_stop(self) -> None:
+        if not self._stop_requested.ready():
+            self._stop_requested.send(None)
 
     def _reload(self) -> None:
         stamp = self._settings_stamp()
         try:
             read = self._read_options()
         except (OSError, ValueError) as error:
-            # The file may be in the middle of being written; what was read before
-            # stands.
+            # The file may be partly written; the options read before stay in force.
             eliot.log_message(message_type="process:reload-failed", detail=repr(error))
             return
         self._stamp_read = stamp
@@ -155,15 +156,15 @@
         )
 
     def _drain(self) -> None:
-        """Let no new connection in, and answer what has been read."""
+        """Stop accepting connections, and let running requests complete."""
         eliot.log_message(message_type="process:draining", name=self._options.name)
         self._on_draining()
         began = clock.now()
         for each in self._edges_by_address.values():
             each.is_draining = True
         if self._options.ready_address:
-            # Until the balancer has noticed, it sends new clients here; closed at
-            # once, the process would turn them away without an answer.
+            # The balancer sends new clients here until its readiness checks fail. If
+            # the server stopped accepting at once, they would get no answer.
             clock.sleep(BALANCER_SECONDS)
         for server_ in self._servers:
             server_.stop_accepting()
--- a/bilberrydrum/nodes/store.py
+++ b/bilberrydrum/nodes/store.py
@@ -1,7 +1,7 @@
-"""The store: a replica of the stores' group, and the batches' tasks beside it.
+"""The store: a replica of the stores' group, and the tasks that run batches.
 
-The group's log holds commands of `batches.commands` only, so no other part of the state
-machine is imported: that would double the time to start.
+The group's log holds only commands of `batches.commands`, so no other part of the state
+machine is imported, as that would double the time to start.
 """
 
 import random
@@ -17,7 +17,7 @@
 from bilberrydrum.state import files, replica, storage, tenure
 from bilberrydrum.state import node as state_node
 
-_LOOK_SECONDS = 0.1
+_POLL_SECONDS = 0.1
 
 
 class Store:
@@ -35,11 +35,12 @@
         self.view = subscriber.Subscriber(
             self._control.carrier, self._control.calls, self._make_request
         )
-        self.view.watch(self._on_news)
+        self.view.watch(self._on_registry_change)
         self._clients = watch.Watch()
         self._pool = connections.Connections()
-        # Scoring requests are sent by the stores' leader: nobody else sees the next
-        # crash, as with items.
+        # Only the stores' leader sends scoring requests, so no other process observes
+        # the next crash. A request is therefore reported only once this process has
+        # seen enough crashes to suspect it. Items, too, are sent by the leader only.
         self._crashes = crash_watch.CrashWatch(
             self.view, self._control.calls, n_to_report=quarantine.N_FOR_DOUBT
         )
@@ -51,7 +52,7 @@
         self._starter: eventlet.greenthread.GreenThread | None = None
 
     def start(self) -> None:
-        """Start all tasks; the replica once the group's founders are known."""
+        """Start all tasks; the replica starts once the initial members are known."""
         self._control.carrier.start()
         self._stores.carrier.start()
         self._clients.start()
@@ -61,15 +62,16 @@
         self._starter = eventlet.spawn(self._start_replica)
 
     def _start_replica(self) -> None:
-        # Only the control group knows which stores start the group: with a list of
-        # its own, each store could start one. A store that holds data knows the group:
-        # after a loss of power everywhere it does not wait for the control group.
+        # The control group chooses the initial members of the group, as stores with
+        # lists of their own could each start a group. A store that holds data has the
+        # membership in it, so after a power loss everywhere it does not wait for the
+        # control group.
         is_known = self._holds_data() and not self._node.is_first_start
         while not self.view.registry.founder_addresses and not is_known:
-            clock.sleep(_LOOK_SECONDS)
-        founders = self.view.registry.founder_addresses
+            clock.sleep(_POLL_SECONDS)
+        initial_members = self.view.registry.founder_addresses
         self.replica = replica.Replica(
-            groups.store_options(self._node, founders), self._stores.carrier
+            groups.store_options(self._node, initial_members), self._stores.carrier
         )
         groups.start_replica(self.replica)
         if self.replica.failure:
@@ -91,7 +93,7 @@
             ),
         )
         self.service.start()
-        self._on_news()
+        self._on_registry_change()
 
     def _make_relay(self, means: attempts.Means) -> relay.Relay:
         rng = random.Random()
@@ -120,7 +122,7 @@
             store_zone=self._node.availability_zone,
         )
 
-    def _on_news(self) -> None:
+    def _on_registry_change(self) -> None:
         if self.replica is None:
             return
         stores = self.view.registry.stores
@@ -133,15 +135,15 @@
         )
 
     def failure(self) -> str:
-        """Return why the process cannot go on; empty: it can."""
+        """Return why the process must exit, or an empty string."""
         return groups.failure_of(self.replica) if self.replica is not None else ""
 
     def learn_seeds(self, addresses: tuple[str, ...]) -> None:
-        """Take over control addresses from changed settings."""
+        """Add control addresses from changed settings."""
         self._control.calls.learn(addresses)
 
     def stop(self) -> None:
-        """End all tasks; the leadership is handed over."""
+        """Stop all tasks; a leadership is handed over."""
         if self._starter is not None:
             self._starter.kill()
         if self.service is not None:
--- a/bilberrydrum/registrations.py
+++ b/bilberrydrum/registrations.py
@@ -1,9 +1,10 @@
 """Import every module that adds commands, queries or sections to the state machine.
 
-A replica applies whatever is in the log, also commands of parts that do not run in its
-process. If one of these modules were not imported there, the replica would find no
-function for a committed command and have to stop. Whoever makes a replica imports this
-module; a test checks that it leaves none out.
+A replica applies every command in the log, including those of parts that do not run in
+its process. If one of these modules were not imported, the replica would find no
+function for a committed command and would have to stop. The daemon imports this module;
+the processes in `nodes` import only the modules whose commands can be in the log of
+their group. A test checks that no module is missing here.
 """
 
 from bilberrydrum.batches import commands as batch_commands
--- a/bilberrydrum/requests/crash_record.py
+++ b/bilberrydrum/requests/crash_record.py
@@ -78,7 +78,7 @@
     def _report(self, message: messages.ReportCrashes) -> result.Result[Any, Any]:
         command = crash_commands.NoteCrashes(message.reports, message.cleared)
         return self._commit(command).map(
-            lambda noted: messages.CrashesTaken(self.crashes_index)
+            lambda noted: messages.CrashesRecorded(self.crashes_index)
         )
 
     def lift(self, fingerprint: str) -> None:
--- a/tests/fakes/counted.py
+++ b/tests/fakes/counted.py
@@ -1,8 +1,8 @@
-"""Collections that count how often they are gone through."""
+"""Collections that count how often they are iterated over."""
 
 
 class CountedTuple(tuple):
-    """A tuple that counts for all of its kind."""
+    """A tuple that counts the iterations over all instances."""
 
     n_passes = 0
 
--- a/tests/fakes/lone_leader.py
+++ b/tests/fakes/lone_leader.py
@@ -1,4 +1,4 @@
-"""A replica that leads alone and commits at once, for tests of what a leader does."""
+"""A replica that is always the leader and commits at once, for tests of leaders."""
 
 import attrs
 import result
@@ -8,13 +8,13 @@
 
 @attrs.define
 class Leadership:
-    """A leadership of one term."""
+    """Stands for the leadership of one term."""
 
     term: int = 1
 
 
 class LoneLeader:
-    """Applies what is proposed; its clock is that of the test."""
+    """Applies each proposed command at once, at the time of the test's clock."""
 
     def __init__(self, clock) -> None:
         self._clock = clock
@@ -42,8 +42,8 @@
     def is_elected(self):
         return self.held is not None
 
-    def hold(self, term):
-        """Be elected in another term."""
+    def elect(self, term):
+        """Become the leader of another term."""
         self.held = Leadership(term)
         for each in self._role_watchers:
             each()
@@ -58,7 +58,7 @@
 
 
 class Carrier:
-    """Hands messages to their handlers and keeps the answers."""
+    """Records the handlers of messages and the answers."""
 
     def __init__(self) -> None:
         self.handlers_by_class = {}
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -1,4 +1,4 @@
-"""Client accounts: what a policy says of them, and whom a key stands for."""
+"""Client accounts: their part of the policy, and the lookup of keys."""
 
 import json
 import pathlib
@@ -51,14 +51,14 @@
         self.assertEqual([e.is_public for e in decoded.routes], [False, False, True])
 
     def test_no_accounts(self):
-        """Without the field requests need no key; with an empty list none is right."""
+        """Without the field no key is needed; with an empty list no key is valid."""
         plain = policies.decode(json.dumps(shared.CONFIGURATION).encode())
         self.assertIsNone(plain.accounts)
         empty = json.dumps({**DOCUMENT, "tenants": []}).encode()
         self.assertEqual(policies.decode(empty).accounts, ())
 
     def test_keys_are_not_kept(self):
-        """What is committed and told to all processes holds no key that works."""
+        """The policy that is committed and sent to processes contains no usable key."""
         decoded = policies.decode(json.dumps(DOCUMENT).encode())
         for shown in (repr(decoded).encode(), codec.encode(decoded)):
             self.assertNotIn(b"key-a1", shown)
@@ -79,7 +79,7 @@
 
 
 class Check(unittest.TestCase):
-    """All faults are found together, and none in what is sound."""
+    """All faults are reported together, and none for valid accounts."""
 
     @tools.params(
         ("sound", [account("a", "k1", "k2"), account("b", "k3")], []),
@@ -104,7 +104,7 @@
             self.assertIn(part, text, name)
 
     def test_many(self):
-        """Ten thousand accounts are checked, and a key found, well inside a call."""
+        """Checking 10,000 accounts and looking up a key are fast enough for a call."""
         many = tuple(account(f"a{n}", f"k{n}", f"l{n}") for n in range(10_000))
         document = attrs.evolve(test_fleet.document(), accounts=many)
         began = time.process_time()
@@ -118,7 +118,7 @@
 
 
 class Identify(unittest.TestCase):
-    """Whom a request comes from, and what it is answered otherwise."""
+    """Identification of callers by their keys, and refusals."""
 
     def identify(self, path, key, is_confirmed=True, document=DOCUMENT):
         view = shared.View(document)
@@ -143,9 +143,9 @@
         ("no key", "/a/1", "", True, reasons.Reason.UNAUTHORIZED),
         ("unknown", "/a/1", "key-c", True, reasons.Reason.UNAUTHORIZED),
         ("two keys", "/a/1", "key-a1, key-b", True, reasons.Reason.UNAUTHORIZED),
-        ("not sure", "/a/1", "key-a1", False, reasons.Reason.BUNDLE_LEASE_EXPIRED),
+        ("not confirmed", "/a/1", "key-a1", False, reasons.Reason.BUNDLE_LEASE_EXPIRED),
         (
-            "unknown, not sure",
+            "unknown, not confirmed",
             "/a/1",
             "key-c",
             False,
@@ -156,8 +156,8 @@
         refused = self.identify(path, key, is_confirmed)
         self.assertIsInstance(refused, relay_model.Refused, name)
         self.assertIs(refused.reason, reason)
-        may_come_back = refused.retry_after_seconds > 0
-        self.assertEqual(may_come_back, reason is not reasons.Reason.UNAUTHORIZED)
+        may_retry = refused.retry_after_seconds > 0
+        self.assertEqual(may_retry, reason is not reasons.Reason.UNAUTHORIZED)
 
     def test_public_needs_no_confirmation(self):
         self.assertEqual(self.identify("/p/1", "", is_confirmed=False).account, "")
@@ -167,12 +167,12 @@
         self.assertIsNone(found.account)
 
     @tools.params(
-        ("taken away", [BETA]),
+        ("key revoked", [BETA]),
         ("given to another account", [{**BETA, "api_keys": ["key-a1"]}]),
         ("no accounts left", []),
     )
-    def test_asked_again_before_each_sending(self, name, left):
-        """A request waits; its key is taken away meanwhile; it must not go out."""
+    def test_checked_before_each_attempt(self, name, left):
+        """A request whose key is revoked while it waits must not be sent."""
         view = shared.View(DOCUMENT)
         route = view.routes.find("h.example", "/a/1")
         caller = callers.Callers(view, random.Random(1)).of_request(
@@ -188,7 +188,7 @@
 
 
 class Interface(unittest.TestCase):
-    """Statuses, and what is passed on, through the adapter."""
+    """Statuses and forwarded headers through the adapter."""
 
     def call(self, node, method, path, body=b"x", **headers):
         node.view = shared.View(DOCUMENT)
@@ -219,7 +219,7 @@
         ("public", "/p/1", {"api_key": "key-b", "x_tenant": "acme"}, None),
     )
     def test_claims_are_not_passed_on(self, name, path, headers, expected):
-        """The key ends here, and whoever the caller claims to be is replaced."""
+        """The key is not forwarded, and a claimed account name is replaced."""
         node = shared.Node()
         self.call(node, "POST", path, **headers)
         sent = self.sent(node.inbound[0].headers, node.inbound[0].account)
@@ -231,8 +231,8 @@
         given = upstreams.PlatformProtocol().relay_headers(headers, attempt)
         return {name.lower(): value for name, value in given.items()}
 
-    def test_items_headers_are_not_believed(self):
-        """An item's own headers name an account and a key; the batch's owner counts."""
+    def test_item_headers_are_replaced(self):
+        """An item's headers for account and key are replaced by the batch's owner."""
         headers = {"X-Tenant": "acme", "API-KEY": "key-a1", "X-Model": "m"}
         sent = self.sent(headers, "beta")
         self.assertEqual(sent["x-tenant"], "beta")
@@ -244,7 +244,7 @@
         ("another account", "key-b", "beta/b1"),
     )
     def test_batches_belong_to_accounts(self, name, key, expected):
-        """Any key of the owner leads to the batch; to no other account is it there."""
+        """All keys of the owner give access to its batch; other accounts have none."""
         node = shared.Node(*[test_platform_clients.KEPT] * 2)
         submitted = self.call(
             node, "POST", "/b/1", test_platform_clients.BATCH, Api_Key="key-a1"
@@ -272,7 +272,7 @@
 
 
 class Precedence(unittest.TestCase):
-    """The account's priority goes before the route's, at engines and before them."""
+    """The account's priority is compared before that of the route."""
 
     @tools.params(
         ("the account decides", (0, 9), (1, 0), True),
--- a/tests/test_batches_service.py
+++ b/tests/test_batches_service.py
@@ -166,7 +166,7 @@
 
         def depose(command):
             self.replica.intervene = lambda command: None
-            self.replica.hold(3)
+            self.replica.elect(3)
             self.wait_for(lambda: len(self.runners) == 2)
             return REFUSED
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""What the control group decides: policies, registrations, retirement."""
+"""Decisions of the control group: policies, registrations, retirement."""
 
 import unittest
 
@@ -6,8 +6,8 @@
 from nose2 import tools
 
 from bilberrydrum.fleet import (
+    bootstrap,
     commands,
-    founding,
     liveness,
     model,
     policy,
@@ -36,7 +36,7 @@
 
 
 class FindRoute(unittest.TestCase):
-    """A request goes by its host and the longest prefix that begins its path."""
+    """A request is routed by its host and the longest matching path prefix."""
 
     TABLE = policy.RouteTable(
         document(
@@ -64,12 +64,16 @@
 
 
 class CheckPolicy(unittest.TestCase):
-    """Every fault is found, each with the route that has it."""
+    """Every fault is found and reported with its route."""
 
     @tools.params(
         ("sound", document(route()), []),
         ("service", document(route(shares=(("t", 1.0),))), ["no service is named 't'"]),
-        ("weights", document(route(shares=(("s", 0.0),))), ["add up to nothing"]),
+        (
+            "weights",
+            document(route(shares=(("s", 0.0),))),
+            ["must add up to more than 0"],
+        ),
         ("negative", document(route(shares=(("s", -1.0), ("s", 3.0)))), ["negative"]),
         ("timeout", document(route(timeout_seconds=0.0)), ["timeout"]),
         ("prefix", document(route(prefix="a/")), ["slash"]),
@@ -88,8 +92,8 @@
             self.assertIn(part, text, name)
 
 
-class World:
-    """A state and a log that only counts."""
+class FakeReplica:
+    """A state machine that applies commands; its log only counts them."""
 
     def __init__(self):
         self.state = machine.State()
@@ -114,7 +118,7 @@
 
 
 class PutPolicy(unittest.TestCase):
-    """The first content of the highest version stands."""
+    """The first content of the highest version is in force."""
 
     @tools.params(
         ("first", [(3, b"x")], 3, b"x"),
@@ -123,16 +127,16 @@
         ("same version, other content", [(3, b"x"), (3, b"y")], 3, b"x"),
     )
     def test_in_force(self, name, sent, version, content):
-        world = World()
+        replica = FakeReplica()
         for each, data in sent:
-            taken = world.apply(commands.PutPolicy(document(version=each), data))
+            taken = replica.apply(commands.PutPolicy(document(version=each), data))
         self.assertEqual(taken.version, version, name)
-        self.assertEqual(world.section.document, content)
-        self.assertEqual(world.section.policy.version, version)
+        self.assertEqual(replica.section.document, content)
+        self.assertEqual(replica.section.policy.version, version)
 
 
 class Registration(unittest.TestCase):
-    """Announcements come late, doubled and out of order; addresses are reused."""
+    """Announcements are delayed, duplicated and reordered; addresses are reused."""
 
     LEAVING = upstream(sequence=5, is_leaving=True)
     NEXT = upstream("i-2", sequence=1)
@@ -151,117 +155,119 @@
             [("i-1", True)],
         ),
         ("address taken over", [upstream(), NEXT], [("i-2", False)]),
-        ("held up by a cut", [upstream(), NEXT, upstream()], [("i-2", False)]),
+        ("delayed by a partition", [upstream(), NEXT, upstream()], [("i-2", False)]),
     )
     def test_announcements(self, name, announced, expected):
-        world = World()
+        replica = FakeReplica()
         for each in announced:
-            world.apply(commands.PutUpstream(each))
-        known = world.section.upstreams_by_id.values()
+            replica.apply(commands.PutUpstream(each))
+        known = replica.section.upstreams_by_id.values()
         self.assertEqual([(e.upstream_id, e.is_leaving) for e in known], expected, name)
 
-    def test_late_announcement_of_one_that_left(self):
-        """An upstream leaves, and an announcement from before arrives after it.
+    def test_late_announcement_after_departure(self):
+        """An upstream departs, and an earlier announcement arrives after its departure.
 
-        Registered again, it would be sent requests that nobody answers.
+        If that registered it again, requests would be sent to a stopped process.
         """
-        world = World()
-        world.apply(commands.PutUpstream(upstream()))
-        world.apply(commands.NoteDeparture("i-1"))
-        world.apply(commands.PutUpstream(upstream(sequence=9)))
-        self.assertEqual(world.section.upstreams_by_id, {})
-
-    def test_departed_are_forgotten_in_the_end(self):
-        world = World()
-        world.apply(commands.NoteDeparture("i-1"))
-        world.apply(commands.NoteDeparture("i-2"), commands.FORMER_SECONDS + 1.0)
-        self.assertEqual(list(world.section.formers_by_announced_id), ["i-2"])
-
-    def test_silent_and_heard_again(self):
-        world = World()
-        world.apply(commands.PutUpstream(upstream()))
-        world.apply(commands.MarkSilent(("i-1", "i-unknown")))
-        self.assertTrue(world.section.upstreams_by_id["i-1"].is_silent)
-        world.apply(commands.PutUpstream(upstream(sequence=2)))
-        self.assertFalse(world.section.upstreams_by_id["i-1"].is_silent)
-
-    def test_registry_index_tells_every_change(self):
-        """A gateway that keeps a registry with the same index must miss nothing."""
-        world = World()
-        before = world.section.registry_index
+        replica = FakeReplica()
+        replica.apply(commands.PutUpstream(upstream()))
+        replica.apply(commands.RecordDeparture("i-1"))
+        replica.apply(commands.PutUpstream(upstream(sequence=9)))
+        self.assertEqual(replica.section.upstreams_by_id, {})
+
+    def test_departures_are_forgotten_after_retention(self):
+        replica = FakeReplica()
+        replica.apply(commands.RecordDeparture("i-1"))
+        replica.apply(
+            commands.RecordDeparture("i-2"), commands.FORMER_RETENTION_SECONDS + 1.0
+        )
+        self.assertEqual(list(replica.section.formers_by_announced_id), ["i-2"])
+
+    def test_silent_until_next_announcement(self):
+        replica = FakeReplica()
+        replica.apply(commands.PutUpstream(upstream()))
+        replica.apply(commands.MarkSilent(("i-1", "i-unknown")))
+        self.assertTrue(replica.section.upstreams_by_id["i-1"].is_silent)
+        replica.apply(commands.PutUpstream(upstream(sequence=2)))
+        self.assertFalse(replica.section.upstreams_by_id["i-1"].is_silent)
+
+    def test_every_change_advances_the_registry_index(self):
+        """A gateway whose registry has the current index must not lack any change."""
+        replica = FakeReplica()
+        before = replica.section.registry_index
         for command in (
             commands.PutUpstream(upstream()),
             commands.MarkSilent(("i-1",)),
-            commands.NameVersion("m", 2),
+            commands.AnnounceVersion("m", 2),
             commands.PutStore("store-1", "1.1.1.2:70"),
-            commands.FoundStores(("1.1.1.2:70",)),
+            commands.BootstrapStores(("1.1.1.2:70",)),
             commands.RetireStore("store-1"),
             commands.RemoveUpstreams(("i-1",)),
-            commands.NoteDeparture("i-2"),
+            commands.RecordDeparture("i-2"),
         ):
-            world.apply(command)
-            self.assertGreater(world.section.registry_index, before, command)
-            before = world.section.registry_index
+            replica.apply(command)
+            self.assertGreater(replica.section.registry_index, before, command)
+            before = replica.section.registry_index
 
 
 class Versions(unittest.TestCase):
-    """Named versions only rise."""
+    """Only a higher version replaces the announced one."""
 
     @tools.params(([2, 3], 3), ([3, 2], 3), ([2, 2], 2))
-    def test_named(self, versions, newest):
-        world = World()
+    def test_newest_announced(self, versions, newest):
+        replica = FakeReplica()
         for each in versions:
-            world.apply(commands.NameVersion("m", each))
-        self.assertEqual(world.section.versions_by_model, {"m": newest})
+            replica.apply(commands.AnnounceVersion("m", each))
+        self.assertEqual(replica.section.versions_by_model, {"m": newest})
 
 
-class Founders(unittest.TestCase):
+class InitialMembers(unittest.TestCase):
     def test_chosen_once(self):
-        """A second list of founders would start a second group beside the first."""
-        world = World()
-        world.apply(commands.FoundStores(("a", "b")))
-        world.apply(commands.FoundStores(("c",)))
-        self.assertEqual(world.section.founder_addresses, ("a", "b"))
+        """A second list of initial members would start a second, separate group."""
+        replica = FakeReplica()
+        replica.apply(commands.BootstrapStores(("a", "b")))
+        replica.apply(commands.BootstrapStores(("c",)))
+        self.assertEqual(replica.section.founder_addresses, ("a", "b"))
 
 
-class Silence(unittest.TestCase):
-    """Who is not heard is marked first and removed much later."""
+class FailureDetection(unittest.TestCase):
+    """A silent upstream is marked first and removed much later."""
 
     @tools.params(
-        ("just heard", 0.0, (), ()),
+        ("just announced", 0.0, (), ()),
         ("a little late", 3.9, (), ()),
         ("silent", 4.1, ("i-1",), ()),
         ("gone", 33.0, (), ("i-1",)),
     )
     def test_due(self, name, seconds, silent, gone):
-        heard = liveness.Liveness(4.0, 32.0)
-        heard.begin(100.0)
-        heard.heard(upstream(), 110.0)
-        due = heard.due(110.0 + seconds, [upstream()])
+        detector = liveness.Liveness(4.0, 32.0)
+        detector.reset(100.0)
+        detector.record_announcement(upstream(), 110.0)
+        due = detector.due(110.0 + seconds, [upstream()])
         self.assertEqual((due.silent_ids, due.gone_ids), (silent, gone), name)
 
-    def test_new_leader_gives_everyone_time(self):
-        """A new leader has heard nobody; that must not look like silence."""
-        heard = liveness.Liveness(4.0, 32.0)
-        heard.begin(100.0)
-        self.assertEqual(heard.due(103.9, [upstream()]), liveness.Due())
-        self.assertEqual(heard.due(104.1, [upstream()]).silent_ids, ("i-1",))
+    def test_new_leader_waits_before_marking_silent(self):
+        """A new leader has received no announcements; that is not silence."""
+        detector = liveness.Liveness(4.0, 32.0)
+        detector.reset(100.0)
+        self.assertEqual(detector.due(103.9, [upstream()]), liveness.Due())
+        self.assertEqual(detector.due(104.1, [upstream()]).silent_ids, ("i-1",))
 
     def test_marked_once(self):
-        heard = liveness.Liveness(4.0, 32.0)
-        heard.begin(100.0)
+        detector = liveness.Liveness(4.0, 32.0)
+        detector.reset(100.0)
         known = attrs.evolve(upstream(), is_silent=True)
-        self.assertEqual(heard.due(110.0, [known]), liveness.Due())
+        self.assertEqual(detector.due(110.0, [known]), liveness.Due())
 
-    def test_late_announcement_is_told(self):
-        heard = liveness.Liveness(4.0, 32.0)
-        heard.begin(100.0)
-        self.assertTrue(heard.heard(upstream(sequence=3), 101.0))
-        self.assertFalse(heard.heard(upstream(sequence=2), 102.0))
+    def test_late_announcement_is_detected(self):
+        detector = liveness.Liveness(4.0, 32.0)
+        detector.reset(100.0)
+        self.assertTrue(detector.record_announcement(upstream(sequence=3), 101.0))
+        self.assertFalse(detector.record_announcement(upstream(sequence=2), 102.0))
 
 
 class Retirement(unittest.TestCase):
-    """A store goes only when the group has enough others and has let it go."""
+    """A store is retired only if others suffice and one of them has replaced it."""
 
     STORES = tuple(model.Store(f"s{i}", f"a{i}") for i in range(4))
 
@@ -279,13 +285,13 @@
         self.assertEqual(may, expected, name)
 
     @tools.params(
-        ("nobody says", (), False),
+        ("no reports", (), False),
         ("still a member", ((2, 9, ("a0", "a3")),), False),
-        ("does not know yet", ((2, 8, ("a0", "a1")),), False),
+        ("leader lacks the retirement", ((2, 8, ("a0", "a1")),), False),
         ("gone", ((2, 9, ("a0", "a1", "a2")),), True),
-        ("its place is not taken", ((2, 9, ("a0", "a1")),), False),
+        ("not replaced yet", ((2, 9, ("a0", "a1")),), False),
         (
-            "an older leader's word",
+            "report of an older leader",
             ((2, 9, ("a0", "a1", "a2")), (3, 9, ("a0", "a1", "a3"))),
             False,
         ),
@@ -296,8 +302,8 @@
         self.assertEqual(retirement.is_done(store, given, 3), expected, name)
 
 
-class FoundersByZone(unittest.TestCase):
-    """The stores' group starts in as many zones as there are."""
+class InitialMembersByZone(unittest.TestCase):
+    """The initial members are spread over as many zones as possible."""
 
     ZONES = {f"a{n}": f"z{n // 6}" for n in range(30)}
 
@@ -308,10 +314,10 @@
         ("zones are not known", dict.fromkeys(ZONES, ""), 5, {""}),
     )
     def test_zones(self, name, zones, n_replicas, expected):
-        chosen = founding.choose(zones, zones, n_replicas)
+        chosen = bootstrap.choose(zones, zones, n_replicas)
         found = [zones[each] for each in chosen]
         if isinstance(expected, int):
-            # A zone that is lost takes less than half.
+            # The loss of one zone must lose less than half of the replicas.
             most = max(found.count(each) for each in found)
             self.assertEqual((len(set(found)), most), (expected, 2), name)
         else:
@@ -319,10 +325,10 @@
         self.assertEqual(len(chosen), min(n_replicas, len(zones)), name)
 
     def test_store_in_another_zone(self):
-        """A store's host comes back in another zone: everyone is told."""
-        world = World()
-        world.apply(commands.PutStore("s", "a:1", "z0"))
-        index = world.section.registry_index
-        world.apply(commands.PutStore("s", "a:1", "z1"))
-        self.assertGreater(world.section.registry_index, index)
-        self.assertEqual(world.section.stores_by_name["s"].availability_zone, "z1")
+        """A store's host returns in another zone, and the registry changes with it."""
+        replica = FakeReplica()
+        replica.apply(commands.PutStore("s", "a:1", "z0"))
+        index = replica.section.registry_index
+        replica.apply(commands.PutStore("s", "a:1", "z1"))
+        self.assertGreater(replica.section.registry_index, index)
+        self.assertEqual(replica.section.stores_by_name["s"].availability_zone, "z1")
--- a/tests/test_fleet_feeds.py
+++ b/tests/test_fleet_feeds.py
@@ -1,4 +1,4 @@
-"""What processes are told of the registry, and when."""
+"""Updates of the registry: what is sent to which process, and when."""
 
 import random
 import unittest
@@ -21,7 +21,7 @@
 
 
 def section_of(registry):
-    """Return what the control group holds when it tells `registry`."""
+    """Return the control group's state for `registry`."""
     return commands.Section(
         registry_index=registry.index,
         upstreams_by_id={each.upstream_id: each for each in registry.upstreams},
@@ -32,7 +32,7 @@
 
 
 class Changes(unittest.TestCase):
-    """A process with an earlier registry gets what changed since."""
+    """A process with an earlier registry gets the changes since."""
 
     BEFORE = model.Registry(
         5,
@@ -45,7 +45,7 @@
     def log(self, *registries):
         log = registry_log.RegistryLog()
         for each in registries:
-            log.note(section_of(each))
+            log.record(section_of(each))
         return log
 
     def after(self, index=9, **fields):
@@ -71,11 +71,11 @@
         self.assertEqual(tuple(e.upstream_id for e in change.upstreams), put, name)
         self.assertEqual(change.gone_ids, gone, name)
         sent = codec.decode(codec.encode(change))
-        self.assertEqual(changes.changed(self.BEFORE, sent), after, name)
+        self.assertEqual(changes.apply_change(self.BEFORE, sent), after, name)
 
     @tools.params(5, 6, 7, 8)
     def test_change_since_any_state(self, index):
-        """Processes are how far behind they are, also at states between two looks."""
+        """A process may have any earlier state, also one the log never recorded."""
         states = [
             self.BEFORE,
             self.after(6, upstreams=("a", "b", "c")),
@@ -86,24 +86,26 @@
         seen = self.log(*states[::2])
         known = next(each for each in states if each.index == index)
         change = seen.change_since(index, is_gateway=False)
-        reached = changes.changed(known, change)
+        reached = changes.apply_change(known, change)
         self.assertEqual(reached.index, 9)
         self.assertEqual(
             {each.upstream_id: each for each in reached.upstreams},
             {each.upstream_id: each for each in states[-1].upstreams},
         )
 
-    def test_what_gateways_are_told(self):
-        """What engines have loaded concerns those who send them items only."""
+    def test_gateways_get_no_loaded_versions(self):
+        """Loaded versions are sent only to stores, which send items to engines."""
         first, second = self.BEFORE.upstreams
         loaded = attrs.evolve(first, versions_by_model={"m": 2}, sequence=9)
         after = attrs.evolve(self.BEFORE, index=6, upstreams=(loaded, second))
         log = self.log(self.BEFORE, after)
         self.assertEqual(log.change_since(5, is_gateway=True).upstreams, ())
         self.assertEqual(log.change_since(5, is_gateway=False).upstreams, (loaded,))
-        versions = [e.versions_by_model for e in log.whole(is_gateway=True).upstreams]
+        versions = [
+            e.versions_by_model for e in log.full_registry(is_gateway=True).upstreams
+        ]
         self.assertEqual(versions, [{}, {}])
-        self.assertEqual(log.whole(is_gateway=False), after)
+        self.assertEqual(log.full_registry(is_gateway=False), after)
 
     @tools.params(
         ("a version", {"versions_by_model": {"m": 2}, "sequence": 9}, False),
@@ -111,8 +113,8 @@
         ("silent", {"is_silent": True}, True),
         ("another address", {"address": "2.2.2.2:80"}, True),
     )
-    def test_what_cannot_wait(self, name, fields, is_urgent):
-        """What engines load is told to gateways with their next renewal only."""
+    def test_urgent_changes(self, name, fields, is_urgent):
+        """Loaded versions are no reason to push to gateways before their renewal."""
         first, second = self.BEFORE.upstreams
         upstreams = (attrs.evolve(first, **fields), second)
         after = attrs.evolve(self.BEFORE, index=6, upstreams=upstreams)
@@ -125,22 +127,23 @@
         ("gone", ("a",), True),
         ("same", ("a", "b"), False),
     )
-    def test_comings_and_goings_cannot_wait(self, name, ids, is_urgent):
+    def test_added_and_removed_upstreams_are_urgent(self, name, ids, is_urgent):
         log = self.log(self.BEFORE, self.after(6, upstreams=ids))
         self.assertEqual(log.can_wait(5), not is_urgent, name)
 
     @tools.params(
         ("the one that it was made for", 0, True),
         ("between", 1, True),
-        ("between, with a line that changes back", 2, True),
+        ("between, with an entry that changes back", 2, True),
         ("the newest", 4, False),
     )
-    def test_taken_at_a_state_between(self, name, position, is_taken):
-        """A process hears of a change half a second late, though it was pushed at once.
+    def test_applied_to_a_state_in_between(self, name, position, is_applied):
+        """A process applies a change half a second late, though it was pushed at once.
 
-        Its renewal's answer and the next push cross: the push is made for what the
-        renewal said that the process has, and the process is further by then. Dropped,
-        each push would be, until a renewal finds nothing new.
+        A push is a difference from the index in the process's last renewal. When the
+        answer to that renewal arrives first, the process already has a later state. If
+        the push were dropped, so would be all further ones until a renewal finds
+        nothing new.
         """
         states = [
             self.BEFORE,
@@ -150,36 +153,36 @@
             self.after(9, upstreams=("a", "b!", "d!")),
         ]
         change = self.log(*states).change_since(5, is_gateway=False)
-        reached = changes.changed(states[position], change)
-        self.assertEqual(reached is not None, is_taken, name)
+        reached = changes.apply_change(states[position], change)
+        self.assertEqual(reached is not None, is_applied, name)
         if reached is not None:
             self.assertEqual(reached, states[-1], name)
 
     def test_difference_of_two_states(self):
-        """A leader of the release before compares two states and knows none between."""
+        """A change made by the previous release applies only to its base state."""
         change = attrs.evolve(
             self.log(self.BEFORE, self.after(9)).change_since(5, is_gateway=False),
             is_cumulative=False,
         )
-        self.assertIsNone(changes.changed(self.after(7), change))
-        self.assertIsNotNone(changes.changed(self.BEFORE, change))
+        self.assertIsNone(changes.apply_change(self.after(7), change))
+        self.assertIsNotNone(changes.apply_change(self.BEFORE, change))
 
     def test_other_state(self):
-        """The change before was lost; taken all the same, its part would be missing."""
+        """An earlier change was lost; the next one must not be applied without it."""
         later = attrs.evolve(self.BEFORE, index=7)
         log = self.log(later, attrs.evolve(later, index=8))
         change = log.change_since(7, is_gateway=False)
-        self.assertIsNone(changes.changed(self.BEFORE, change))
+        self.assertIsNone(changes.apply_change(self.BEFORE, change))
 
     def test_before_the_leadership(self):
-        """What changed before this leader's time is not known to it."""
+        """A leader does not know the changes from before its term."""
         log = self.log(self.BEFORE, self.after(9))
         self.assertFalse(log.reaches_back_to(4))
         self.assertFalse(log.can_wait(4))
         self.assertTrue(log.reaches_back_to(5))
 
-    def test_departures_are_remembered_up_to_a_number(self):
-        ids = tuple(f"u{n}" for n in range(registry_log.MAX_GONE + 1))
+    def test_number_of_remembered_removals_is_bounded(self):
+        ids = tuple(f"u{n}" for n in range(registry_log.MAX_REMOVED + 1))
         log = self.log(
             self.after(6, upstreams=ids),
             self.after(7, upstreams=ids[1:]),
@@ -189,8 +192,8 @@
         self.assertTrue(log.reaches_back_to(7))
 
 
-class Fed(unittest.TestCase):
-    """What the leader sends to whom."""
+class FeedContent(unittest.TestCase):
+    """The content of the leader's updates."""
 
     def setUp(self):
         self.feeds = feeds.Feeds()
@@ -205,7 +208,7 @@
         crashes = crash_commands.Section()
         return self.feeds.make(self.section, crashes, has, ())
 
-    def test_whole_then_changes(self):
+    def test_complete_registry_then_changes(self):
         for number in range(40):
             self.put(f"u{number}")
         first = self.make(0)
@@ -214,16 +217,16 @@
         second = self.make(self.section.registry_index - 1)
         self.assertFalse(second.registry)
         self.assertLess(len(second.registry_change), len(first.registry) / 10)
-        registry = changes.changed(
+        registry = changes.apply_change(
             codec.decode(first.registry), codec.decode(second.registry_change)
         )
         self.assertEqual(registry, self.section.registry())
 
     def test_far_behind(self):
-        """Hundreds of upstreams announce themselves while a process is held up.
+        """Hundreds of upstreams announce themselves while a process is delayed.
 
-        Sent the whole registry each time, 300 processes of a fleet of 3,000 upstreams
-        cost their leader 33 MB a second and more memory than it has.
+        Sending the complete registry each time to 300 processes of a fleet of 3,000
+        upstreams cost the leader 33 MB a second and more memory than it has.
         """
         self.put("first")
         self.make(0)
@@ -234,10 +237,10 @@
             self.make(self.section.registry_index - 1)
         feed = self.make(index)
         self.assertFalse(feed.registry)
-        reached = changes.changed(known, codec.decode(feed.registry_change))
+        reached = changes.apply_change(known, codec.decode(feed.registry_change))
         self.assertEqual(reached, self.section.registry())
 
-    def test_what_can_wait(self):
+    def test_loaded_versions_can_wait(self):
         self.put("u0")
         self.make(0)
         index = self.section.registry_index
@@ -254,20 +257,20 @@
         self.assertEqual((feed.registry, feed.registry_change), (b"", b""))
 
 
-N_COURSES = 20
+N_HISTORIES = 20
 N_STEPS = 200
 
 
-class AnyCourse(unittest.TestCase):
-    """Whoever leads, and however far a process is behind, it gets what there is."""
+class RandomHistories(unittest.TestCase):
+    """Processes reach the current registry under random changes and leaders."""
 
     def setUp(self):
-        few = mock.patch.object(registry_log, "MAX_GONE", 5)
+        few = mock.patch.object(registry_log, "MAX_REMOVED", 5)
         few.start()
         self.addCleanup(few.stop)
 
     def change(self, section, rng):
-        """Let something happen to the fleet."""
+        """Apply a random change to the fleet."""
         section.registry_index += rng.randrange(1, 3)
         index = section.registry_index
         chance = rng.random()
@@ -294,7 +297,7 @@
             section.stores_by_name[name] = model.Store(name, f"x:{index}")
 
     def feed(self, leader, section, known, is_gateway):
-        """Return what a process has after its renewal."""
+        """Return the registry of a process after its renewal."""
         can_wait = is_gateway and leader.can_wait(section, known.index)
         address = "" if is_gateway else "x:1"
         has = messages.Subscribe(registry_index=known.index, store_address=address)
@@ -302,31 +305,34 @@
         if feed.registry:
             reached = codec.decode(feed.registry)
         elif feed.registry_change:
-            reached = changes.changed(known, codec.decode(feed.registry_change))
+            reached = changes.apply_change(known, codec.decode(feed.registry_change))
         else:
             reached = known
         if can_wait:
-            self.assertEqual(used_by_gateways(reached), used_by_gateways(known))
+            self.assertEqual(
+                fields_used_by_gateways(reached), fields_used_by_gateways(known)
+            )
         return reached
 
     def check(self, reached, section, is_gateway):
         current = section.registry()
-        told = registry_log.for_gateways if is_gateway else lambda each: each
+        visible = registry_log.for_gateways if is_gateway else lambda each: each
         self.assertEqual(
             {each.upstream_id: each for each in reached.upstreams},
-            {each.upstream_id: told(each) for each in current.upstreams},
+            {each.upstream_id: visible(each) for each in current.upstreams},
         )
         self.assertEqual(
             attrs.evolve(reached, upstreams=()), attrs.evolve(current, upstreams=())
         )
 
-    def test_what_processes_have(self):
-        """A process sends to an upstream that is gone, or never hears of one.
+    def test_processes_reach_the_current_registry(self):
+        """A process keeps an upstream that was removed, or never gets a new one.
 
-        Upstreams come, go and come again, also between two looks of the leader and
-        while another one leads, which has told processes what this one has not seen.
+        Upstreams are added, removed and added again, also between two states that the
+        leader records, and in the term of another leader, which has sent processes
+        changes that this one has not seen.
         """
-        for seed in range(N_COURSES):
+        for seed in range(N_HISTORIES):
             rng = random.Random(seed)
             section = commands.Section()
             leaders = [feeds.Feeds(), feeds.Feeds()]
@@ -345,8 +351,8 @@
                         self.check(known[number], section, is_gateway)
 
 
-def used_by_gateways(registry):
-    """Return what a gateway must know at once."""
+def fields_used_by_gateways(registry):
+    """Return the fields whose changes a gateway must get at once."""
     upstreams = {
         each.upstream_id: (each.service, each.address, each.is_leaving, each.is_silent)
         for each in registry.upstreams
--- a/tests/test_fleet_incarnations.py
+++ b/tests/test_fleet_incarnations.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under their name, and words that come late."""
+"""Upstreams that restart under their id, and announcements that arrive late."""
 
 import random
 import unittest
@@ -45,7 +45,7 @@
 
 
 class Leader:
-    """The control group's leader, told things one after the other."""
+    """The control group's leader, which gets one message at a time."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -55,23 +55,23 @@
         self.service = control.ControlService(options, self.replica, self.carrier)
         self.service.start()
 
-    def tell(self, message):
+    def send(self, message):
         self.carrier.handlers_by_class[type(message)](None, message)
-        # Let the task that answers run.
+        # Let the task that sends the answer run.
         eventlet.sleep(0)
         eventlet.sleep(0)
         return self.carrier.answers.pop()
 
     def announce(self, given):
-        """Tell whether the announcement was acknowledged."""
-        return isinstance(self.tell(messages.Announce(given)), messages.Done)
+        """Return whether the announcement was acknowledged."""
+        return isinstance(self.send(messages.Announce(given)), messages.Done)
 
     def depart(self, name, start=None):
-        return self.tell(messages.Depart(name, start))
+        return self.send(messages.Depart(name, start))
 
     def put_policy(self, *services):
         known = tuple(policy.Service(each) for each in services)
-        self.tell(messages.SubmitPolicy(policy.Policy(1, (), known), b""))
+        self.send(messages.SubmitPolicy(policy.Policy(1, (), known), b""))
 
     @property
     def section(self):
@@ -84,8 +84,8 @@
         ]
 
 
-class Told(unittest.TestCase):
-    """Base of the tests that tell a leader things."""
+class LeaderCase(unittest.TestCase):
+    """Base of the tests that send messages to a leader."""
 
     def setUp(self):
         self.clock = self.enterContext(helpers.manual_clock())
@@ -93,58 +93,60 @@
         self.addCleanup(self.leader.service.stop)
 
 
-class NewIncarnations(Told):
-    """An upstream crashes and starts again under its name; words of before come late.
+class NewIncarnations(LeaderCase):
+    """An upstream crashes and restarts under its id; earlier announcements come late.
 
-    Taken for the earlier one's, the new one's announcements would count as late ones
-    (their numbers begin anew), its weights as those of before, and one that had said
-    that it leaves would stay gone. What the earlier one said must change nothing.
+    If the incarnations were not distinguished, the new one's announcements would be
+    dropped as stale (their sequence numbers start again), its weight versions would be
+    mixed up with the earlier ones, and an upstream that restarts after it announced
+    that it is leaving would stay excluded. Late announcements of the earlier
+    incarnation must change nothing.
     """
 
     @tools.params(
         ("first", [upstream(start=5)], [("i-1/5", False)]),
         (
-            "starts again within a second; numbers begin anew",
+            "restarts within a second; sequence numbers start again",
             [upstream(start=5, sequence=9), upstream(start=6, sequence=1)],
             [("i-1/6", False)],
         ),
         (
-            "starts again at another address",
+            "restarts at another address",
             [upstream(start=5), upstream(start=6, address="1.1.1.2:80")],
             [("i-1/6", False)],
         ),
         (
-            "the earlier one's word after the new one's",
+            "announcement of the earlier one after that of the new one",
             [upstream(start=6), upstream(start=5, sequence=99)],
             [("i-1/6", False)],
         ),
         (
-            "the earlier one's leaving after the new one's start",
+            "the earlier one is leaving, after the start of the new one",
             [upstream(start=6), leaving(start=5, sequence=99)],
             [("i-1/6", False)],
         ),
         (
-            "one that was leaving starts again",
+            "one that was leaving restarts",
             [leaving(start=5, sequence=9), upstream(start=6)],
             [("i-1/6", False)],
         ),
         (
-            "the same start: one incarnation, in the order of its numbers",
+            "the same start: one incarnation, in the order of sequence numbers",
             [upstream(start=5, sequence=9), leaving(start=5, sequence=8)],
             [("i-1/5", False)],
         ),
         (
-            "the same start, leaving, and a word from before",
+            "the same start: a later announcement does not undo leaving",
             [leaving(start=5, sequence=9), upstream(start=5, sequence=10)],
             [("i-1/5", True)],
         ),
         (
-            "an announcement without a start displaces none that has it",
+            "an announcement without a start replaces none that has it",
             [upstream(start=5), upstream(sequence=99)],
             [("i-1/5", False)],
         ),
         (
-            "one with a start takes the place of one without",
+            "one with a start replaces one without",
             [upstream(sequence=99), upstream(start=5)],
             [("i-1/5", False)],
         ),
@@ -154,12 +156,12 @@
             [("i-2/6", False)],
         ),
         (
-            "an earlier upstream's word after the address was taken over",
+            "announcement of an earlier upstream after its address was reused",
             [upstream("i-2", start=6), upstream(start=5, sequence=9)],
             [("i-2/6", False)],
         ),
         (
-            "without starts, who was at the address before is the earlier one",
+            "without starts, the previous upstream at the address is older",
             [upstream(), upstream("i-2"), upstream(sequence=9)],
             [("i-2", False)],
         ),
@@ -171,15 +173,15 @@
         self.assertEqual(self.leader.known(), expected, name)
 
     @tools.params(
-        ("the one that is there", [upstream(start=5)], 5, []),
-        ("no start told", [upstream(start=5)], None, []),
+        ("the registered one", [upstream(start=5)], 5, []),
+        ("no start given", [upstream(start=5)], None, []),
         (
-            "the one before, late",
+            "the previous one, late",
             [upstream(start=5), upstream(start=6)],
             5,
             [("i-1/6", False)],
         ),
-        ("one that was never heard", [upstream(start=5)], 6, []),
+        ("one that was never announced", [upstream(start=5)], 6, []),
     )
     def test_departed(self, name, announced, start, expected):
         for each in announced:
@@ -200,9 +202,10 @@
         self.assertEqual(self.leader.known(), expected, name)
 
     def test_another_leader_in_between(self):
-        """The leader is lost between two incarnations; the next one knows the log only.
+        """The leader is replaced after a restart; the new leader knows only the log.
 
-        It must not take the earlier one's late word for the first that it hears.
+        It must not accept a late announcement of the earlier incarnation just because
+        it is the first announcement that it receives.
         """
         self.leader.announce(upstream(start=5, sequence=50))
         self.leader.announce(upstream(start=6))
@@ -210,10 +213,10 @@
         self.leader.announce(upstream(start=5, sequence=51))
         self.assertEqual(self.leader.known(), [("i-1/6", False)])
 
-    def test_heard_again_after_a_long_cut(self):
-        """An upstream is cut off for so long that it is taken out, then heard again.
+    def test_registered_again_after_a_long_partition(self):
+        """An upstream is partitioned until it is removed, then announces itself again.
 
-        It never left. Kept out for good, it would idle though it works.
+        It never departed. If it stayed excluded, it would run without any requests.
         """
         self.leader.announce(upstream(sequence=3))
         self.leader.replica.propose(commands.RemoveUpstreams(("i-1",)))
@@ -223,16 +226,17 @@
         self.assertEqual(self.leader.known(), [("i-1", False)])
 
 
-class Doubted(Told):
-    """A word of an incarnation that another has replaced is not acknowledged at first.
+class UnconfirmedAnnouncements(LeaderCase):
+    """A replaced incarnation's announcement is not acknowledged at first.
 
-    Mostly it was held up on its way. But the clock of a host may have gone back over a
-    restart, or a crashed upstream's first words may come after its successor's: then
-    the doubted one is alive, goes on to announce itself, and the other is not heard.
+    Mostly it was delayed on its way. But the clock of a host may have gone back over a
+    restart, or the first announcement of a crashed upstream may have arrived after that
+    of its successor and replaced it. Then the unconfirmed incarnation is the running
+    one: it goes on to announce itself, while the other one does not.
     """
 
     def announce_for(self, seconds, *makers):
-        """Announce for a time; return whether the last one was acknowledged."""
+        """Announce for some seconds; return whether the last one was acknowledged."""
         is_acknowledged = False
         for number in range(int(seconds / ANNOUNCE_SECONDS) + 1):
             for make in makers:
@@ -243,19 +247,19 @@
     @tools.params(
         ("clock went back", upstream(start=9), lambda n: upstream(start=5, sequence=n)),
         (
-            "address, starts told",
+            "same address, starts given",
             upstream("i-2", start=9),
             lambda n: upstream(start=5, sequence=n),
         ),
     )
-    def test_believed_once_the_other_is_silent(self, name, first, make):
+    def test_confirmed_once_the_other_is_silent(self, name, first, make):
         self.leader.announce(first)
         self.assertFalse(self.announce_for(SILENT_SECONDS - 1.0, make))
         self.assertEqual(self.leader.known(), [(first.upstream_id, False)], name)
         self.assertTrue(self.announce_for(SILENT_SECONDS, make), name)
         self.assertEqual(self.leader.known(), [("i-1/5", False)], name)
 
-    def test_not_believed_while_the_other_is_heard(self):
+    def test_not_confirmed_while_the_other_announces_itself(self):
         self.leader.announce(upstream(start=9))
         self.announce_for(
             20.0,
@@ -264,45 +268,46 @@
         )
         self.assertEqual(self.leader.known(), [("i-1/9", False)])
 
-    def test_one_word_again_and_again_is_not_believed(self):
-        """The same held-up announcement is sent again by whoever retries it."""
+    def test_repeated_announcement_is_not_confirmed(self):
+        """A delayed announcement is retried, always with the same sequence number."""
         self.leader.announce(upstream(start=9))
         self.announce_for(20.0, lambda n: upstream(start=5, sequence=7))
         self.assertEqual(self.leader.known(), [("i-1/9", False)])
 
-    def test_leaving_is_not_acknowledged_while_doubted(self):
-        """Acknowledged, it would end though requests are still sent to it."""
+    def test_leaving_is_not_acknowledged_while_unconfirmed(self):
+        """After an acknowledgement it would stop, though it is still sent requests."""
         self.leader.announce(upstream(start=9))
-        answer = self.leader.tell(messages.Announce(leaving(start=5)))
-        self.assertIsInstance(answer, messages.NotTaken)
+        answer = self.leader.send(messages.Announce(leaving(start=5)))
+        self.assertIsInstance(answer, messages.AnnouncementRejected)
 
-    def test_claims_are_judged_by_time(self):
-        heard = fleet_liveness.Liveness(SILENT_SECONDS, 32.0)
-        heard.begin(0.0)
-        heard.heard(upstream("i-2"), 1.0)
+    def test_confirmation_takes_time(self):
+        detector = fleet_liveness.Liveness(SILENT_SECONDS, 32.0)
+        detector.reset(0.0)
+        detector.record_announcement(upstream("i-2"), 1.0)
         answers = [
-            heard.is_established(upstream(sequence=n), ("i-2",), at)
+            detector.is_established(upstream(sequence=n), ("i-2",), at)
             for n, at in ((1, 2.0), (2, 5.9), (3, 6.1))
         ]
         self.assertEqual(answers, [False, False, True])
 
 
-class HeldUpByACut(Told):
-    """Engines crash behind a cut and others start at their addresses, without starts.
+class AnnouncementsDelayedByPartition(LeaderCase):
+    """Engines crash in a partition, and others without start times reuse the addresses.
 
-    The words of the crashed ones come in the seconds after the cut. Each that is taken
-    gives the address back to an engine that is gone: whatever is sent there is turned
-    away until the living one announces itself. Before, as on played days, 11 in 3 s.
+    Announcements of the crashed engines arrive in the seconds after the partition. Each
+    one that is accepted reassigns the address to an engine that no longer runs, and
+    requests to it fail until the running one announces itself again. This happened 11
+    times within 3 s.
     """
 
     @tools.params(*range(5))
-    def test_addresses_stay_with_the_living(self, seed):
+    def test_addresses_stay_with_running_engines(self, seed):
         rng = random.Random(seed)
         names = [f"i-{n}" for n in range(8)]
         for n, name in enumerate(names):
             self.leader.announce(upstream(name, address=f"1.1.1.{n}:80"))
         self.clock.advance(5.0)
-        words = [
+        announcements = [
             (rng.uniform(0.0, ANNOUNCE_SECONDS) + ANNOUNCE_SECONDS * k, f"new-{n}", k)
             for n in range(len(names))
             for k in range(6)
@@ -312,30 +317,30 @@
             for name in names
             for _ in range(3)
         ]
-        n_flips, began, at_before = 0, self.clock.now, {}
-        for at, name, sequence in sorted(words + late):
+        n_reverted, began, at_before = 0, self.clock.now, {}
+        for at, name, sequence in sorted(announcements + late):
             self.clock.now = began + at
             number = name.partition("-")[2]
             self.leader.announce(
                 upstream(name, sequence=sequence, address=f"1.1.1.{number}:80")
             )
             holders = {e.address: e.upstream_id for e in self.registered()}
-            n_flips += sum(
+            n_reverted += sum(
                 at_before.get(address, "").startswith("new") and holder[:3] != "new"
                 for address, holder in holders.items()
             )
             at_before = holders
-        self.assertEqual(n_flips, 0)
+        self.assertEqual(n_reverted, 0)
         self.assertEqual({e.upstream_id[:3] for e in self.registered()}, {"new"})
 
     def registered(self):
         return list(self.leader.section.upstreams_by_id.values())
 
 
-class Foreign(Told):
-    """Announcements of services that the policy does not know take nobody's place."""
+class UnknownServices(LeaderCase):
+    """Announcements of services that are not in the policy replace no upstream."""
 
-    def test_refused_under_a_policy(self):
+    def test_rejected_under_a_policy(self):
         self.leader.put_policy(SERVICE)
         self.leader.announce(upstream(start=5))
         for given in (
@@ -346,22 +351,22 @@
             self.assertFalse(self.leader.announce(given))
         self.assertEqual(self.leader.known(), [("i-1/5", False)])
 
-    def test_taken_before_the_first_policy(self):
-        """Upstreams announce themselves before the operator's first policy comes."""
+    def test_accepted_before_the_first_policy(self):
+        """Upstreams may announce themselves before the operator's first policy."""
         self.assertTrue(self.leader.announce(upstream()))
 
     def test_leaving_after_the_service_was_dropped(self):
-        """A policy drops a service whose upstreams then leave; they wait for a yes."""
+        """Upstreams of a removed service leave; their notice must be acknowledged."""
         self.leader.announce(upstream())
         self.leader.put_policy("other")
         self.assertTrue(self.leader.announce(leaving(sequence=2)))
         self.assertEqual(self.leader.known(), [("i-1", True)])
 
 
-class WholeFleet(unittest.TestCase):
-    """Judged beside itself alone, a known upstream is judged as beside the fleet."""
+class CompleteFleet(unittest.TestCase):
+    """Assessing a registered upstream alone gives the same as with the fleet."""
 
-    def test_same_judgement(self):
+    def test_same_assessment(self):
         rng = random.Random(7)
         section = commands.Section()
         state = machine.State()
@@ -376,10 +381,10 @@
             )
             n_known += given.upstream_id in section.upstreams_by_id
             former = section.formers_by_announced_id.get(given.announced_id)
-            expected = incarnations.judge(
+            expected = incarnations.assess(
                 given, section.upstreams_by_id.values(), former
             )
-            self.assertEqual(section.judge(given), expected, index)
+            self.assertEqual(section.assess(given), expected, index)
             command = commands.PutUpstream(given, rng.random() < 0.3)
             machine.apply(command, state, machine.Context(index, float(index)))
         self.assertGreater(n_known, 100)
--- a/tests/test_fleet_loads.py
+++ b/tests/test_fleet_loads.py
@@ -1,8 +1,9 @@
-"""Engines that say what they have loaded, to the control group's leader.
+"""Engines announce their loaded weight versions to the control group's leader.
 
-In a large fleet an engine loads every few milliseconds. Committed one by one and told
-to all processes each time, such news took 0.93 of a core and 33 MB a second from the
-control leader of 300 processes before 3,000 engines; a policy was in force after 7.5 s.
+In a large fleet some engine loads weights every few milliseconds. When each change was
+committed by itself and sent to all processes, it took 0.93 of a core and 33 MB a second
+of the control leader with 300 processes and 3,000 engines, and a new policy came into
+force only after 7.5 s.
 """
 
 import unittest
@@ -22,7 +23,7 @@
         clock = self.enterContext(helpers.manual_clock(100.0))
         self.leader = test_fleet_incarnations.Leader(clock)
         self.addCleanup(self.leader.service.stop)
-        # The tasks have begun to wait.
+        # Let the leader's tasks start and wait.
         eventlet.sleep(0)
         self.committed = []
         self.leader.replica.watch(
@@ -60,28 +61,28 @@
         self.assertEqual(self.versions(), [2] * N_ENGINES)
         self.assertEqual([type(e) for e in self.committed], [commands.PutUpstreams])
 
-    def test_what_else_is_new_is_committed_at_once(self):
+    def test_other_changes_are_committed_at_once(self):
         self.announce(0, 2, 2, is_leaving=True)
         self.assertEqual([type(e) for e in self.committed], [commands.PutUpstream])
 
     @tools.params("it leaves", "it departs")
-    def test_overtaken(self, name):
-        """An engine says that it leaves while its load waits to be committed.
+    def test_leaves_before_its_load_is_committed(self, name):
+        """An engine announces that it leaves while its load waits to be committed.
 
-        Committed after that, the load must not bring the engine back.
+        The later commit of the load must not register the engine again.
         """
         self.announce(0, 2, 2)
         if name == "it leaves":
             self.announce(0, 2, 3, is_leaving=True)
         else:
-            self.leader.tell(test_fleet_incarnations.messages.Depart("i-0"))
+            self.leader.send(test_fleet_incarnations.messages.Depart("i-0"))
         self.pass_time(1.0)
         section = commands.section_of(self.leader.replica.state())
         known = section.upstreams_by_id.get("i-0")
         self.assertTrue(known is None or known.is_leaving, name)
 
     def test_next_leader(self):
-        """What the last leader had not committed is said again, and taken then."""
+        """A load that the last leader left uncommitted is announced again."""
         self.announce(0, 2, 2)
         self.leader.replica.held = type(self.leader.replica.held)(2)
         self.announce(1, 2, 2)
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -1,4 +1,4 @@
-"""What a process looks up in its copy of the registry."""
+"""Lookups in a process's copy of the registry."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class FindRefusal(unittest.TestCase):
-    """Whether an upstream may still be sent to, asked right before each sending."""
+    """Checks before each attempt whether an upstream may still be sent requests."""
 
     @tools.params(
         ("present", "a", None),
@@ -33,11 +33,11 @@
         self.assertIs(registry.find_refusal(upstream_id), expected, name)
         self.assertIs(registry.find_refusal(upstream_id), expected, name)
 
-    def test_many_sendings(self):
-        """Each item before 3,000 engines waits for half a millisecond of searching.
+    def test_many_lookups(self):
+        """Each item waits for half a millisecond of searching with 3,000 engines.
 
-        The process that sends all items asks this for each of them, and went through
-        all upstreams each time. They are gone through once for each registry.
+        The process that sends all items makes this lookup for each of them, and each
+        lookup iterated over all upstreams. It must do so only once for each registry.
         """
         names = [f"e{n}" for n in range(N_UPSTREAMS)]
         upstreams = counted.CountedTuple(test_fleet.upstream(each) for each in names)
@@ -47,8 +47,8 @@
             self.assertIsNone(registry.find_refusal(each))
         self.assertLessEqual(counted.CountedTuple.n_passes, 1)
 
-    def test_registry_after(self):
-        """What was looked up in one state says nothing of the next."""
+    def test_later_registry(self):
+        """A lookup in one state of the registry does not affect the next state."""
         before = model.Registry(1, (test_fleet.upstream("a"),))
         self.assertIsNone(before.find_refusal("a"))
         leaving = test_fleet.upstream("a", is_leaving=True)
@@ -57,7 +57,7 @@
 
 
 class Name(unittest.TestCase):
-    """The name of an incarnation follows what it is made of."""
+    """The id of an incarnation follows from its announced id and start."""
 
     def test_next_incarnation(self):
         first = test_fleet.upstream("a", started_at_ms=1)
--- a/tests/test_fleet_tasks.py
+++ b/tests/test_fleet_tasks.py
@@ -1,4 +1,4 @@
-"""Errors that nobody expects, in tasks that run for as long as their process."""
+"""Unexpected errors in tasks that must run for as long as their process."""
 
 import unittest
 from unittest import mock
@@ -20,7 +20,7 @@
 
 
 class ControlLeader(unittest.TestCase):
-    """The control group's leader goes on after an error in one of its tasks."""
+    """The control group's leader continues after an error in one of its tasks."""
 
     def setUp(self):
         self.clock = self.enterContext(helpers.manual_clock())
@@ -34,11 +34,11 @@
             let_others_run()
 
     def test_sweep_that_fails(self):
-        """An upstream that is gone is sent requests until another process leads.
+        """A crashed upstream is sent requests until another process leads.
 
-        An unexpected error comes up while it is marked as silent. It ended the task
-        that looks for silent upstreams, and for quarantines whose time is up; the
-        leader went on answering, so no other took its place.
+        An unexpected error occurs while it is marked as silent. The error ended the
+        task that looks for silent upstreams and expired quarantines. As the leader went
+        on answering, no other process was elected.
         """
         propose = self.leader.replica.propose
         failed = []
@@ -57,10 +57,10 @@
         self.assertTrue(known.is_silent)
 
     def test_push_that_fails(self):
-        """Changes reach gateways with their next renewal only, until another leads.
+        """Changes reach gateways only with their renewals, until another process leads.
 
-        An unexpected error comes up while one change is told to all. It ended the task
-        that tells them.
+        An unexpected error occurs while a change is sent to all subscribers. The error
+        ended the task that pushes changes.
         """
         sent = []
         self.leader.carrier.send = lambda address, message: sent.append(message)
@@ -75,12 +75,12 @@
         self.assertEqual([each.policy_index > 0 for each in sent], [True])
 
     def put_policy(self, version):
-        self.leader.tell(messages.SubmitPolicy(policy.Policy(version), b""))
+        self.leader.send(messages.SubmitPolicy(policy.Policy(version), b""))
         let_others_run()
 
 
-class Calls:
-    """The way to a leader that has one word of each kind for who lacks it."""
+class FakeCalls:
+    """Calls to a leader that has a policy and a record of crashes."""
 
     def __init__(self):
         book = quarantine.Book()
@@ -103,10 +103,10 @@
         return messages.Feed(1, policy_, 0, b"", crashes_index=1, crashes=crashes)
 
 
-class Follower(unittest.TestCase):
+class SubscriberTask(unittest.TestCase):
     def setUp(self):
         self.clock = self.enterContext(helpers.manual_clock())
-        self.calls = Calls()
+        self.calls = FakeCalls()
         self.carrier = mock.Mock()
         self.view = subscriber.Subscriber(
             self.carrier, self.calls, messages.Subscribe, 5.0
@@ -120,10 +120,10 @@
 
     @tools.params("policy", "crashes")
     def test_answer_that_cannot_be_read(self, kind):
-        """A gateway refuses all work until its process is started again.
+        """A gateway refuses all requests until its process is restarted.
 
-        It cannot read an answer to a renewal. That ended the task of its renewals, and
-        the right to act on its policy ran out.
+        It cannot decode the answer to a renewal. The error ended its renewal task, and
+        the lease of its policy expired.
         """
         with mock.patch.object(self.calls, kind, b"damaged"):
             self.view.start()
@@ -131,15 +131,15 @@
         self.assertEqual(self.calls.n_calls, 1)
         self.assertFalse(self.view.is_policy_confirmed())
         self.renew(3)
-        self.check_all_is_known()
+        self.check_up_to_date()
 
     @tools.params("policy", "crashes")
-    def test_word_that_cannot_be_read(self, kind):
-        """Keys that were taken away are good at a gateway for as long as it runs.
+    def test_push_that_cannot_be_read(self, kind):
+        """A gateway accepts revoked keys for as long as it runs.
 
-        It cannot read what the control group's leader tells it of itself. Its index
-        was held for known all the same: nobody sent it again, and renewals confirmed
-        the policy of before.
+        It cannot decode a push of the control group's leader. It advanced its index all
+        the same, so the policy was not sent again, and renewals confirmed the old
+        policy.
         """
         with mock.patch.object(self.calls, kind, b"damaged"):
             damaged = self.calls.feed(messages.Subscribe())
@@ -147,12 +147,12 @@
         on_feed = self.carrier.on.call_args.args[1]
         with self.assertRaises(codec.DecodeError):
             on_feed(None, damaged)
-        # What could be read is in force.
+        # The part that could be decoded is in force.
         self.assertEqual(self.view.has_policy, kind != "policy")
         self.renew(3)
-        self.check_all_is_known()
+        self.check_up_to_date()
 
-    def check_all_is_known(self):
+    def check_up_to_date(self):
         self.assertTrue(self.view.is_policy_confirmed())
         self.assertEqual(self.view.routes.policy.version, 1)
         self.assertIs(self.view.crashes.standing("f"), quarantine.Standing.DOUBTFUL)
