--- a/tests/test_nodes_path.py
+++ b/tests/test_nodes_path.py
@@ -1,4 +1,4 @@
-"""The three roles together, in one process on loopback, with a stand-in engine."""
+"""All three roles in one process on loopback, with a fake engine."""
 
 import socket
 import tempfile
@@ -64,7 +64,7 @@
 def is_free(address):
     host, _, port = address.rpartition(":")
     with socket.socket() as probe:
-        # As ZeroMQ binds: connections that have ended do not count.
+        # ZeroMQ binds with this option, so closed connections do not block the port.
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             probe.bind((host, int(port)))
@@ -115,7 +115,7 @@
             versions,
             1,
         )
-        # Two services at one address: the second would take the first one's place.
+        # Each service needs its own address; the second would replace the first one.
         if service == "apps":
             self.app = node_protocol.PlainEngine()
             self.addCleanup(self.app.stop)
@@ -163,8 +163,8 @@
                 results += self.ask_stores(read).results
         return results
 
-    def test_whole_path(self):
-        """A policy, a look-up, a batch, a version, an end, and a departure."""
+    def test_complete_path(self):
+        """A policy, a request, two batches, a new version, an end and a departure."""
         self.wait_for(self.is_ready)
         inbound = relay_model.Inbound(
             "r1", "h", "POST", "/plain/x", "/plain/x", {}, b"", clock.now() + 2.0
@@ -194,7 +194,7 @@
         self.assertFalse(refused.may_have_run)
 
     def test_scored_batch(self):
-        """Each item's text is whole, then it is scored by the plain service."""
+        """The plain service scores each item once its text is complete."""
         self.wait_for(self.is_ready)
         self.ask_stores(batch_messages.Submit.of(self.batch("b3", is_scored=True)))
         results = self.read("b3", 6)
@@ -205,19 +205,19 @@
         self.assertEqual(len(self.app.request_ids), 6)
 
     def store_options(self):
-        """Return the options of the store when it is started again."""
+        """Return the options with which the store is restarted."""
         again = node(
             options.Role.STORE, self.folders[1].name, self.control_address, False
         )
-        # The store keeps its address: its group knows it by that.
+        # The store keeps its address, as it is its id in the group.
         return attrs.evolve(again, store_address=self.store._node.store_address)
 
-    def test_store_starts_again_between_texts_and_scores(self):
-        """The texts of a batch are whole, and the service that scores is silent.
+    def test_store_restarts_between_texts_and_scores(self):
+        """The leading store restarts when the texts of a batch wait for their scores.
 
-        The store that leads ends and starts again. It must have the texts scored that
-        it had kept, and generate none of them a second time: they might come out under
-        other weights, and cost their trainer seconds.
+        The service that scores did not answer before. The store must have the stored
+        texts scored and must not generate them again, as that could use other weights
+        and would cost the trainer seconds.
         """
         self.wait_for(self.is_ready)
         self.app.is_silent = True
@@ -237,18 +237,18 @@
         self.assertEqual({e.item_id: e.score for e in results}, expected)
         self.assertEqual(len(self.engine.request_ids), 6)
 
-    def test_everything_stops_and_starts_again(self):
-        """All processes end in the middle of a day and are started again.
+    def test_everything_restarts(self):
+        """All processes stop during operation and are restarted.
 
-        What was acknowledged is on the disks of the control process and the store; the
-        gateway keeps nothing and learns it anew.
+        All acknowledged data must be on the disks of the control process and the store.
+        The gateway stores nothing and fetches it again.
         """
         self.wait_for(self.is_ready)
         self.ask_stores(batch_messages.Submit.of(self.batch()))
         results = self.read("b1", 6)
         for each in (self.gateway, self.store, self.control):
             each.stop()
-        # A closed socket gives its port back a little later, in a thread of its own.
+        # ZeroMQ releases the port of a closed socket a little later, in its own thread.
         self.wait_for(lambda: is_free(self.control_address))
         self.wait_for(lambda: is_free(self.store._node.store_address))
         protocol = node_protocol.PlainProtocol()
--- a/tests/test_nodes_process.py
+++ b/tests/test_nodes_process.py
@@ -1,4 +1,4 @@
-"""The life of a process: settings that change while it runs."""
+"""Process lifecycle: settings that change while the process runs."""
 
 import unittest
 import unittest.mock
@@ -10,7 +10,7 @@
 
 
 class Node:
-    """Stands for what a process runs."""
+    """A fake node that records the addresses that it learns."""
 
     def __init__(self):
         self.learned = []
@@ -29,10 +29,10 @@
 
 
 class Settings(unittest.TestCase):
-    """A settings file may change with a signal, or without one."""
+    """A settings file may change with or without a signal."""
 
     def watched(self, stamps, read):
-        """Let the process look a few times; return the seeds that it learned."""
+        """Let the process check a few times; return the seeds that it learned."""
         node = Node()
         given = iter(stamps)
         last = [next(given)]
@@ -57,16 +57,16 @@
         ("gone and back", [1, 1, None, None, 3, 3], 2),
     )
     def test_change_without_a_signal(self, name, stamps, expected):
-        """The seeds are exchanged for other processes and no signal tells of it.
+        """The seed addresses change in the settings file, and no signal is sent.
 
-        A process that read them only at its start would look for a leader where none
-        is any more.
+        A process that reads them only at its start would look for a leader at addresses
+        where no control process runs any more.
         """
         learned = self.watched(stamps, lambda: node_options(("10.0.0.1:7300",)))
         self.assertEqual(learned, [("10.0.0.1:7300",)] * expected, name)
 
-    def test_half_a_file(self):
-        """The file is read while it is written, and again once it is whole."""
+    def test_partly_written_file(self):
+        """The file is read while it is being written, and again once it is complete."""
         answers = [ValueError("half"), ValueError("half"), None]
 
         def read():
--- a/tests/test_policy_lease.py
+++ b/tests/test_policy_lease.py
@@ -1,6 +1,6 @@
-"""Keys that were taken away are dead everywhere within the bound.
+"""Revoked keys are refused everywhere within the bound.
 
-BILBERRYDRUM_SCHEDULES sets how many drawn schedules are run.
+BILBERRYDRUM_SCHEDULES sets how many random schedules are run.
 """
 
 import os
@@ -23,7 +23,7 @@
 ROUTE = policy.Route(
     "r", "h", "/", policy.RouteKind.IDEMPOTENT, (policy.Share("s", 1.0),), 2.0
 )
-LOST = result.Err(client.StateError(reasons.Reason.STATE_UNAVAILABLE, True))
+UNREACHABLE = result.Err(client.StateError(reasons.Reason.STATE_UNAVAILABLE, True))
 
 
 def document(version, *keys):
@@ -33,27 +33,27 @@
 
 
 class Leader:
-    """The control leader, and the way to it; what is asked moves the clock."""
+    """The control leader and the calls to it; each call advances the clock."""
 
     def __init__(self, clock, *keys):
         self.clock = clock
         self.policy = document(1, *keys)
-        # When each key was taken away, and the change acknowledged.
-        self.taken_at_by_key = {}
+        # When each key was revoked and the change acknowledged.
+        self.revoked_at_by_key = {}
         self.is_reachable = True
-        # Seconds until the leader has a renewal, and until its answer is there.
+        # Seconds until the leader receives a renewal, and until its answer arrives.
         self.delays = (0.001, 0.001)
-        # Called when the leader has read its state, before its answer leaves.
-        self.meanwhile = lambda: None
+        # Called after the leader has read its state, before it sends its answer.
+        self.on_state_read = lambda: None
 
-    def take_away(self, key):
+    def revoke(self, key):
         left = [
             each
             for each in ("old", "new")
-            if each not in self.taken_at_by_key and each != key
+            if each not in self.revoked_at_by_key and each != key
         ]
         self.policy = document(self.policy.version + 1, *left)
-        self.taken_at_by_key.setdefault(key, self.clock.now)
+        self.revoked_at_by_key.setdefault(key, self.clock.now)
 
     def learn(self, addresses):
         pass
@@ -62,15 +62,15 @@
         self.clock.advance(self.delays[0])
         if not self.is_reachable:
             self.clock.advance(timeout)
-            return LOST
+            return UNREACHABLE
         index = self.policy.version
         data = codec.encode(self.policy) if request.policy_index < index else b""
-        self.meanwhile()
+        self.on_state_read()
         self.clock.advance(self.delays[1])
         return result.Ok(messages.Feed(index, data, 0, b""))
 
 
-class Case(unittest.TestCase):
+class LeaseCase(unittest.TestCase):
     def setUp(self):
         held = helpers.manual_clock()
         self.clock = held.__enter__()
@@ -81,7 +81,7 @@
 
     def make_view(self, seconds=REVOCATION_SECONDS):
         view = subscriber.Subscriber(None, self.leader, revocation_seconds=seconds)
-        # Nothing here waits: a renewal that somebody asks for is made at once.
+        # No task renews here, so a requested renewal is made at once.
         view.confirm = lambda timeout: self.confirm(view)
         return view
 
@@ -103,17 +103,18 @@
 UNAUTHORIZED = reasons.Reason.UNAUTHORIZED
 
 
-class Bound(Case):
-    """The ways in which a gateway may miss that a key was taken away."""
+class Bound(LeaseCase):
+    """Situations in which a gateway may not know that a key was revoked."""
 
     def test_cut_off(self):
-        """A gateway is cut off, a key is taken away, and its holder still reaches it.
+        """A gateway is partitioned, a key is revoked, and its holder still reaches it.
 
-        It may be served as long as the bound allows, and not a moment longer; all other
-        keys are refused too, with a time to come back, as theirs may be gone as well.
+        The holder may be served for as long as the bound allows, but no longer. After
+        that all other keys are refused too, with a retry time, as they may have been
+        revoked as well.
         """
         self.leader.is_reachable = False
-        self.leader.take_away("old")
+        self.leader.revoke("old")
         self.assertIsNone(self.outcome("old"))
         self.clock.advance(REVOCATION_SECONDS - 0.01)
         self.assertIs(self.outcome("old"), EXPIRED)
@@ -121,39 +122,39 @@
         self.assertIs(refused.reason, EXPIRED)
         self.assertGreater(refused.retry_after_seconds, 0)
 
-    def test_a_short_loss_costs_nothing(self):
-        """Three seconds without a leader, as in an election: all are still served."""
+    def test_short_loss_of_the_leader_refuses_nothing(self):
+        """All keys are served through 3 s without a leader, as in an election."""
         self.leader.is_reachable = False
         self.clock.advance(3.0)
         self.assertIsNone(self.outcome("new"))
 
     def test_frozen_with_a_request_in_hand(self):
-        """The request was read before the freeze and is sent after it.
+        """A request is read before the process is suspended and sent after it.
 
-        The gateway's own clock shows the freeze; the lease is looked at right before
-        the sending, so nothing goes out under a key that is dead by now.
+        The gateway's own clock shows the suspension. The lease is checked right before
+        each attempt, so no request is sent with a key that was revoked meanwhile.
         """
         caller = self.identify("old")
-        self.leader.take_away("old")
+        self.leader.revoke("old")
         self.clock.advance(6.0)
         self.assertIs(caller.find_refusal(), EXPIRED)
         self.view.renew()
         self.assertIs(caller.find_refusal(), UNAUTHORIZED)
 
     def test_renewal_answered_late(self):
-        """The answer was made before the change and arrives long after it.
+        """The answer to a renewal precedes the revocation and arrives long after it.
 
-        Counted from its arrival, the lease would outlive the bound by the delay.
+        If the lease began with its arrival, it would exceed the bound by the delay.
         """
         self.leader.delays = (0.0, 3.0)
-        self.leader.meanwhile = lambda: self.leader.take_away("old")
+        self.leader.on_state_read = lambda: self.leader.revoke("old")
         self.view.renew()
-        taken_at = self.leader.taken_at_by_key["old"]
+        revoked_at = self.leader.revoked_at_by_key["old"]
         self.leader.is_reachable = False
-        self.clock.now = taken_at + REVOCATION_SECONDS
+        self.clock.now = revoked_at + REVOCATION_SECONDS
         self.assertIs(self.outcome("old"), EXPIRED)
 
-    def test_an_older_answer_shortens_nothing(self):
+    def test_older_answer_does_not_shorten_the_lease(self):
         lease = policy_lease.PolicyLease(REVOCATION_SECONDS)
         lease.confirm(100.0)
         lease.confirm(98.0)
@@ -161,9 +162,9 @@
         self.assertFalse(lease.is_valid(104.1))
 
     def test_started_again(self):
-        """A gateway that starts reaches nobody who leads: it knows no key, and says so.
+        """A restarted gateway reaches no leader, so it cannot check keys.
 
-        401 would be taken for final by callers whose keys are in force.
+        It must not answer 401, as callers with valid keys would take that as final.
         """
         self.leader.is_reachable = False
         view = self.make_view()
@@ -172,37 +173,38 @@
         self.assertIs(self.outcome("unknown", view), EXPIRED)
 
     def test_no_bound(self):
-        """Where taken keys may work on for a while, a gateway cut off goes on."""
+        """Without a bound on revocation a partitioned gateway continues to serve."""
         view = self.make_view(0.0)
         view.renew()
         self.leader.is_reachable = False
         self.clock.advance(60.0)
         self.assertIsNone(self.outcome("old", view))
 
-    def test_a_new_key_is_asked_for(self):
-        """A key was added a moment ago, and the news has not come here yet."""
+    def test_new_key_causes_a_renewal(self):
+        """A key was added, and the new policy has not arrived here yet."""
         self.leader.policy = document(2, "old", "new", "newest")
         self.assertIsNone(self.outcome("newest"))
         self.assertIs(self.outcome("never"), UNAUTHORIZED)
 
-    def test_a_new_key_and_no_leader(self):
+    def test_new_key_without_a_leader(self):
         self.leader.policy = document(2, "old", "new", "newest")
         self.leader.is_reachable = False
         self.assertIs(self.outcome("newest"), EXPIRED)
 
 
 class Sending(relay_support.RelayCase):
-    """A key dies between two attempts: nothing goes out after that."""
+    """A key becomes invalid between two attempts: no further attempt is made."""
 
     @tools.params(
-        ("taken away", UNAUTHORIZED, True),
-        ("lease out", EXPIRED, True),
+        ("key revoked", UNAUTHORIZED, True),
+        ("lease expired", EXPIRED, True),
         ("alive", None, False),
     )
-    def test_between_two_attempts(self, name, reason, is_dead):
-        """The first upstream is full; meanwhile the key dies; the second is not asked.
+    def test_between_two_attempts(self, name, reason, is_refused):
+        """The first upstream is full, and the key becomes invalid before the retry.
 
-        Its caller is told so at once, and truly: the request has not run.
+        The second upstream must get nothing. The caller is refused at once, and the
+        answer states correctly that the request has not run.
         """
         found = []
 
@@ -223,8 +225,8 @@
             find_refusal=lambda: found[-1] if found else None,
         )
         answer = relay_.handle(inbound, ROUTE)
-        self.assertEqual(self.n_received(), [1, 0 if is_dead else 1], name)
-        if is_dead:
+        self.assertEqual(self.n_received(), [1, 0 if is_refused else 1], name)
+        if is_refused:
             self.assertIs(answer.reason, reason)
             self.assertFalse(answer.may_have_run)
             has_time = answer.retry_after_seconds > 0
@@ -245,14 +247,14 @@
 
 
 class Schedules(unittest.TestCase):
-    """Cuts, freezes, late answers and changes in any order."""
+    """Partitions, suspensions, late answers and changes in any order."""
 
     @hypothesis.settings(
         derandomize=True, max_examples=N_SCHEDULES, deadline=None, database=None
     )
     @hypothesis.given(steps=STEPS, data=strategies.data())
-    def test_no_dead_key_is_sent(self, steps, data):
-        """Whatever happens, a key is not sent on later than the bound allows."""
+    def test_no_revoked_key_is_sent(self, steps, data):
+        """No request is sent with a revoked key after the bound."""
         with helpers.manual_clock() as clock:
             leader = Leader(clock, "old", "new")
             view = subscriber.Subscriber(
@@ -264,7 +266,7 @@
                 if kind == "renew":
                     view.renew()
                 elif kind.startswith("take"):
-                    leader.take_away(kind.removeprefix("take "))
+                    leader.revoke(kind.removeprefix("take "))
                 elif kind in ("cut", "join"):
                     leader.is_reachable = kind == "join"
                 elif kind == "read":
@@ -273,7 +275,7 @@
                 self.check(leader, clock, read + self.read(view))
 
     def read(self, view):
-        """Return requests that were read now, whatever becomes of them."""
+        """Return the callers of requests that the gateway reads now."""
         if view.routes.accounts is None:
             return []
         view.confirm = lambda timeout: False
@@ -286,6 +288,6 @@
 
     def check(self, leader, clock, read):
         for key, caller in read:
-            if caller.find_refusal() is None and key in leader.taken_at_by_key:
-                late = clock.now - leader.taken_at_by_key[key]
+            if caller.find_refusal() is None and key in leader.revoked_at_by_key:
+                late = clock.now - leader.revoked_at_by_key[key]
                 assert late < REVOCATION_SECONDS, (key, late)
--- a/tests/test_quarantine_reports.py
+++ b/tests/test_quarantine_reports.py
@@ -190,9 +190,9 @@
             self.n_lost_answers -= 1
             return result.Err("lost")
         if self.group is not self.view.crashes:
-            return result.Ok(messages.CrashesTaken(self.view.crashes_index + 1))
+            return result.Ok(messages.CrashesRecorded(self.view.crashes_index + 1))
         self.view.crashes_index += 1
-        return result.Ok(messages.CrashesTaken(self.view.crashes_index))
+        return result.Ok(messages.CrashesRecorded(self.view.crashes_index))
 
 
 class OwnBook(unittest.TestCase):
--- a/tests/test_registrations.py
+++ b/tests/test_registrations.py
@@ -12,10 +12,10 @@
 
 class TestRegistrations(unittest.TestCase):
     def test_no_module_of_the_state_machine_is_left_out(self):
-        """A replica meets a committed command of a part that it never imported.
+        """A replica reads a committed command of a part that it has not imported.
 
-        It could neither apply the command nor go past it, so it would stop, and so
-        would each other replica of the same kind.
+        It could neither apply nor skip the command, so it would stop, and so would all
+        other replicas of the group.
         """
         paths = (ROOT / "bilberrydrum").rglob("*.py")
         found = {
