--- a/bilberrydrum/fleet/accounts.py
+++ b/bilberrydrum/fleet/accounts.py
@@ -24,7 +24,7 @@
     return hashlib.sha256(key.encode("utf-8", "replace")).digest()[:_DIGEST_BYTES]
 
 
-# A request without a key must match no account.
+# The digest of a missing key. It must match no account.
 NO_KEY: Final = digest_of("")
 
 
--- a/bilberrydrum/fleet/bootstrap.py
+++ b/bilberrydrum/fleet/bootstrap.py
@@ -12,13 +12,13 @@
 def choose(
     addresses: Collection[str], zones_by_address: Mapping[str, str], n_replicas: int
 ) -> tuple[str, ...]:
-    """Return `n_replicas` of the stores, from as many zones as there are."""
+    """Return `n_replicas` of the stores, spread evenly over the zones."""
     addresses_by_zone: dict[str, list[str]] = {}
     for address in sorted(addresses):
         addresses_by_zone.setdefault(zones_by_address.get(address, ""), []).append(
             address
         )
-    # The first of each zone, then the second of each, and so on.
+    # Rank the first store of each zone before the second of each, and so on.
     ranked = [
         (n, zone, address)
         for zone, in_zone in addresses_by_zone.items()
--- a/bilberrydrum/fleet/control.py
+++ b/bilberrydrum/fleet/control.py
@@ -62,7 +62,7 @@
         carrier: transport.Transport,
         usage: "reporter.UsageReporter | None" = None,
     ) -> None:
-        """Make the service; nothing is answered before `start`.
+        """Make the service; it answers no requests before `start`.
 
         `usage` is None where usage is not reported.
         """
@@ -251,7 +251,7 @@
         if is_newer and not self._commit(command):
             return None
         eliot.log_message(
-            message_type="policy:taken",
+            message_type="policy:accepted",
             version=version,
             version_in_force=self._section().policy.version,
         )
@@ -266,8 +266,8 @@
     def _on_publish_version(
         self, sender: transport.Sender, message: messages.PublishVersion
     ) -> Any:
-        named = self._section().versions_by_model.get(message.model, -1)
-        if named >= message.version:
+        announced = self._section().versions_by_model.get(message.model, -1)
+        if announced >= message.version:
             return messages.Done()
         command = commands.AnnounceVersion(message.model, message.version)
         is_committed = self._commit(command)
@@ -275,7 +275,7 @@
             message_type="weights:named",
             model=message.model,
             version=message.version,
-            version_before=named,
+            version_before=announced,
             is_committed=is_committed,
         )
         return messages.Done() if is_committed else None
--- a/bilberrydrum/fleet/registry_log.py
+++ b/bilberrydrum/fleet/registry_log.py
@@ -81,7 +81,7 @@
         self._upstreams_by_id: dict[str, model.FleetUpstream] = {}
         # The index after which all changes are known.
         self._since: int | None = None
-        self._put = _ChangeIndexes()
+        self._changed = _ChangeIndexes()
         # The same for changes of fields that gateways need.
         self._changed_for_gateways = _ChangeIndexes()
         self._removed = _ChangeIndexes()
@@ -125,7 +125,7 @@
 
         May only be called if the log reaches back to `index`.
         """
-        put = (self._changed_for_gateways if is_gateway else self._put).after(index)
+        put = (self._changed_for_gateways if is_gateway else self._changed).after(index)
         upstreams = [self._upstreams_by_id[each] for each in put]
         if is_gateway:
             upstreams = [for_gateways(each) for each in upstreams]
@@ -151,7 +151,7 @@
 
     def _record_upstreams(self, section: commands.Section, index: int) -> None:
         for upstream_id in self._upstreams_by_id.keys() - section.upstreams_by_id:
-            self._put.remove(upstream_id)
+            self._changed.remove(upstream_id)
             self._changed_for_gateways.remove(upstream_id)
             self._removed.record(upstream_id, index)
             self._urgent_index = index
@@ -162,7 +162,7 @@
             if before is upstream or before == upstream:
                 continue
             self._removed.remove(upstream_id)
-            self._put.record(upstream_id, index)
+            self._changed.record(upstream_id, index)
             if before is None or for_gateways(before) != for_gateways(upstream):
                 self._changed_for_gateways.record(upstream_id, index)
             if before is None or _routing_fields(before) != _routing_fields(upstream):
