--- a/bilberrydrum/bundles/book.py
+++ b/bilberrydrum/bundles/book.py
@@ -187,7 +187,7 @@
             # older version would take the gateway back; the next bundle that is rolled
             # takes it on.
             counters.dropped(reasons.Reason.BUNDLE_STALE)
-            return self._propose(commands.NoteSeen(event.renewal.version))
+            return self._propose(commands.RecordSeenVersion(event.renewal.version))
         life.allow(newest.version, now + newest.lease_seconds)
         is_behind = event.renewal.version < newest.version
         is_directory_old = event.renewal.directory_change != self.directory.change
@@ -274,7 +274,7 @@
         lives = self.lives_by_incarnation.values()
         if any(life.may_act_below(version, now) for life in lives):
             return []
-        return self._propose(commands.NoteInForce(version))
+        return self._propose(commands.MarkInForce(version))
 
     def _propose(self, command: object) -> list[Any]:
         if command in self._proposed:
--- a/bilberrydrum/bundles/grants.py
+++ b/bilberrydrum/bundles/grants.py
@@ -23,7 +23,7 @@
 _RETRY_SECONDS: Final = 0.1
 _NOTED_COMMANDS: Final = (
     commands.RollBundle,
-    commands.NoteInForce,
+    commands.MarkInForce,
     processes.RegisterProcess,
     processes.ForgetProcesses,
 )
@@ -172,7 +172,7 @@
         answer = self._replica.propose(command)
         if answer.is_err():
             clock.sleep(_RETRY_SECONDS)
-        elif isinstance(command, commands.NoteInForce):
+        elif isinstance(command, commands.MarkInForce):
             eliot.log_message(
                 message_type="bundle:in-force", version=answer.unwrap().version
             )
--- a/tests/test_bundles_commands.py
+++ b/tests/test_bundles_commands.py
@@ -39,7 +39,7 @@
     for command in changes(version, parent, f"c{version:06}"):
         answer = state.apply(command)
         assert isinstance(answer, commands.Changed), answer
-    state.apply(commands.NoteInForce(version))
+    state.apply(commands.MarkInForce(version))
 
 
 def section(state: direct_state.DirectState) -> records.Section:
@@ -57,7 +57,7 @@
             states.append(section(self.state).records_by_version[1].state)
         self.assertEqual(states, ["draft", "signed-off", "rolling"])
         self.assertEqual(section(self.state).in_force, 0)
-        self.state.apply(commands.NoteInForce(1))
+        self.state.apply(commands.MarkInForce(1))
         self.assertEqual(section(self.state).in_force, 1)
         self.assertEqual(section(self.state).records_by_version[1].state, "in-force")
 
@@ -109,10 +109,10 @@
         bring_in_force(self.state, 1, 0)
         for command in [*changes(2, 1, "b"), *changes(3, 2, "c")]:
             self.assertIsInstance(self.state.apply(command), commands.Changed)
-        self.state.apply(commands.NoteInForce(2))
+        self.state.apply(commands.MarkInForce(2))
         self.assertEqual(section(self.state).in_force, 1)
-        self.state.apply(commands.NoteInForce(3))
-        self.assertEqual(self.state.apply(commands.NoteInForce(2)).version, 3)
+        self.state.apply(commands.MarkInForce(3))
+        self.assertEqual(self.state.apply(commands.MarkInForce(2)).version, 3)
         self.assertEqual(section(self.state).records_by_version[2].state, "superseded")
 
     def test_drafts_on_one_parent_are_bounded(self) -> None:
@@ -243,7 +243,7 @@
                 "submit": submit(version, parent, content),
                 "sign": commands.SignOffBundle(version, f"digest-{content}", "o"),
                 "roll": commands.RollBundle(version, f"digest-{content}", "o"),
-                "note": commands.NoteInForce(version),
+                "note": commands.MarkInForce(version),
             }[kind]
             answer = state.apply(command)
             after = (section(state).in_force, records.newest(section(state)))
@@ -274,7 +274,7 @@
     def test_number_that_gateways_have_met_is_not_given_again(self) -> None:
         state = direct_state.DirectState()
         bring_in_force(state, 1, 0)
-        state.apply(commands.NoteSeen(7))
+        state.apply(commands.RecordSeenVersion(7))
         refused = state.apply(submit(7, 1))
         self.assertEqual(refused.reason, reasons.Reason.BUNDLE_STALE)
         self.assertIsInstance(state.apply(submit(8, 1)), commands.Changed)
