--- a/bilberrydrum/bundles/check.py
+++ b/bilberrydrum/bundles/check.py
@@ -1,8 +1,8 @@
-"""Check a bundle's text as a whole: the bundle, or all findings with their places.
+"""Check a bundle's text: return the bundle, or all findings with their positions.
 
-The text is read into the bundle's classes with the place of each value; then ranges
+The text is read into the bundle's classes with the position of each value; then ranges
 and references between the parts are checked. All checks run on every text, so that an
-operator mends all faults in one go.
+operator can correct all faults at once.
 """
 
 import hashlib
@@ -15,14 +15,15 @@
 from bilberrydrum import findings, yaml_places
 from bilberrydrum.bundles import model
 
-# Versions are kept in 64-bit fields by other programs that read the state.
+# Other programs that read the state keep versions in 64-bit fields.
 MAX_VERSION: Final = 2**53
 MAX_SHARE: Final = 1e6
-# Every bundle that waits for its roll is kept whole by each replica: some 3,000
-# callers fit in one, and all that may wait take 8 MiB.
+# Each replica keeps the complete text of every bundle that waits for its roll. Some
+# 3,000 callers fit in one bundle, and the bundles that may wait take 8 MiB at most.
 MAX_CONTENT_BYTES: Final = 256 * 1024
 MAX_TIMEOUT_SECONDS: Final = 24 * 3600.0
-# Characters that a name may not hold: names stand in paths and in metrics' labels.
+# Characters that a name must not contain: names are used in URL paths and in labels of
+# metrics.
 _FORBIDDEN_IN_NAMES: Final = frozenset("/?#%\\\"'{}")
 
 Reading = yaml_places.Reading[model.Bundle]
@@ -30,21 +31,21 @@
 
 
 def digest_of(content: str) -> str:
-    """Return the digest that identifies a bundle's text, in hex."""
+    """Return the digest that identifies a bundle's text, in hexadecimal."""
     return hashlib.sha256(content.encode()).hexdigest()
 
 
 def check(
     content: str, file: str
 ) -> result.Result[model.Bundle, list[findings.Finding]]:
-    """Return the bundle that `content` says, or everything that is wrong with it.
+    """Return the bundle described by `content`, or all faults found in it.
 
     Parameters
     ----------
     content : str
         The YAML text.
     file : str
-        Name of the file, for the findings.
+        Name of the file, as given in the findings.
     """
     if len(content.encode(errors="replace")) > MAX_CONTENT_BYTES:
         message = f"the document is larger than {MAX_CONTENT_BYTES} bytes"
@@ -86,7 +87,10 @@
     for section, rules_by_name in sections.items():
         for name in rules_by_name:
             if not _is_name(name):
-                message = f"{name!r} is not a name: use printable characters but /?#%"
+                message = (
+                    f"{name!r} is not a name: use printable ASCII without spaces "
+                    "or /?#%\\\"'{}"
+                )
                 reading.report(message, (section, name))
 
 
@@ -127,7 +131,7 @@
             reading.report(message, (*path, "timeout_seconds"))
         for i, method in enumerate(rule.idempotent_methods):
             if not (method.isascii() and method.isalpha() and method.isupper()):
-                message = f"{method!r} is not a method in capitals"
+                message = f"{method!r} is not an HTTP method in capitals"
                 reading.report(message, (*path, "idempotent_methods", i))
 
 
@@ -189,7 +193,7 @@
 ) -> None:
     for i, name in enumerate(names):
         if name in names[:i]:
-            reading.report(f"{name!r} stands in the list already", (*path, i))
+            reading.report(f"{name!r} is in the list already", (*path, i))
 
 
 _CHECKS: Final[tuple[Check, ...]] = (
--- a/bilberrydrum/bundles/commands.py
+++ b/bilberrydrum/bundles/commands.py
@@ -1,8 +1,8 @@
-"""Commands on bundles: submit, sign off, roll, and what the leader notes of a roll.
+"""Commands on bundles: submit, sign off, roll, and what the leader records of a roll.
 
-A bundle goes from draft to signed-off to rolling to in-force. Version numbers are given
-by operators, who race: the first submission of a number wins. A command sent again
-changes nothing and gets the answer of the first time.
+A bundle goes from draft to signed-off to rolling to in-force. Operators choose the
+version numbers and may race: the first submission of a number wins. The commands are
+idempotent: one that is sent again changes nothing and gets its first answer.
 """
 
 import attrs
@@ -38,7 +38,7 @@
 @codec.register("bundles.roll")
 @attrs.frozen
 class RollBundle:
-    """Start to bring a bundle in force; answered by `Changed` or `Refused`."""
+    """Start the roll of a bundle; answered by `Changed` or `Refused`."""
 
     version: int
     digest: str
@@ -47,16 +47,16 @@
 
 @codec.register("bundles.note_in_force")
 @attrs.frozen
-class NoteInForce:
-    """Note that no gateway can act on an older bundle; answered by `InForce`."""
+class MarkInForce:
+    """Record that no gateway can act on an older bundle; answered by `InForce`."""
 
     version: int
 
 
 @codec.register("bundles.note_seen")
 @attrs.frozen
-class NoteSeen:
-    """Note that a gateway acts on `version`; answered by `InForce`."""
+class RecordSeenVersion:
+    """Record that a gateway acts on `version`; answered by `InForce`."""
 
     version: int
 
@@ -64,9 +64,9 @@
 @codec.register("bundles.start_grants")
 @attrs.frozen
 class StartGrants:
-    """Note the leases that a new leader will grant; answered by `InForce`.
+    """Record how long leases a new leader will grant; answered by `InForce`.
 
-    Once it is applied, the leader has applied every command of earlier leaders.
+    Once this command is applied, the leader has applied all those of earlier leaders.
     """
 
     term: int
@@ -77,7 +77,7 @@
 @codec.register("bundles.changed")
 @attrs.frozen
 class Changed:
-    """The bundle is, or was when the change was first made, in `state`."""
+    """The change was accepted; `state` is the state to which it first led."""
 
     version: int
     digest: str
@@ -87,11 +87,11 @@
 @codec.register("bundles.refused")
 @attrs.frozen
 class Refused:
-    """The change was refused and changed nothing."""
+    """The change was refused and had no effect."""
 
     reason: reasons.Reason
     detail: str
-    # Who has the version number, when another content has it.
+    # Digest and author of the content that already has the version number.
     winner_digest: str = ""
     winner_author: str = ""
 
@@ -111,9 +111,10 @@
     section = records.section_of(state)
     record = section.records_by_version.get(command.version)
     if record is not None:
-        # Two operators took the same number, or one sent the same change again after
-        # its answer was lost. The digest tells which: without this check the second
-        # content would replace the first, perhaps after it was signed off.
+        # Either two operators chose the same number, or one operator sent the change
+        # again after its answer was lost; the digest distinguishes the two. Without
+        # this check the second content would replace the first, perhaps after the first
+        # was signed off.
         if record.digest != command.digest:
             return _conflict(record)
         return Changed(record.version, record.digest, records.DRAFT)
@@ -121,11 +122,11 @@
     if command.version <= newest:
         return _stale(f"version {newest} is rolled already; take a higher number")
     if command.parent != newest:
-        # Made from an older bundle, it would silently undo what came since.
+        # A bundle made from an older one would silently undo all changes since.
         return _stale(f"made from version {command.parent}, but {newest} is newest")
     if command.version <= section.highest_seen:
-        # After a restore, gateways may still hold what the copy doesn't know. They
-        # would never take another content under a number they have met.
+        # After a restore, gateways may have versions that the restored copy does not
+        # contain. They would never adopt another content under such a number.
         return _stale(
             f"gateways have met version {section.highest_seen}; take a higher number"
         )
@@ -191,10 +192,10 @@
 
 
 @machine.apply.register
-def _(command: NoteInForce, state: machine.State, context: machine.Context) -> InForce:
+def _(command: MarkInForce, state: machine.State, context: machine.Context) -> InForce:
     section = records.section_of(state)
-    # A note that was held up may come after the next roll; only the version that is
-    # rolling now may come in force, so the version never falls.
+    # This command may be delayed until the next roll has started. Only the version that
+    # is rolling now may come into force, so that the version in force never falls.
     if command.version == section.rolling:
         _set_state(section, section.in_force, records.SUPERSEDED)
         _set_state(section, command.version, records.IN_FORCE)
@@ -205,7 +206,9 @@
 
 
 @machine.apply.register
-def _(command: NoteSeen, state: machine.State, context: machine.Context) -> InForce:
+def _(
+    command: RecordSeenVersion, state: machine.State, context: machine.Context
+) -> InForce:
     section = records.section_of(state)
     section.highest_seen = max(section.highest_seen, command.version)
     return InForce(section.in_force)
@@ -214,8 +217,8 @@
 @machine.apply.register
 def _(command: StartGrants, state: machine.State, context: machine.Context) -> InForce:
     section = records.section_of(state)
-    # Replicas may run with other options while these are being changed. A lease that
-    # an earlier leader granted for longer must still be waited out.
+    # Replicas may run with different options while these are being changed. Longer
+    # leases that an earlier leader granted must still be waited for.
     section.lease_seconds = max(section.lease_seconds, command.lease_seconds)
     section.hold_lease_seconds = max(
         section.hold_lease_seconds, section.lease_seconds, command.hold_lease_seconds
@@ -224,8 +227,9 @@
 
 
 def _start_roll(section: records.Section, record: records.Record) -> None:
-    # A roll under way is taken over: its content is this one's parent, gateways go on
-    # to this one, and the earlier version is never reported in force.
+    # This roll replaces one that is still in progress, whose version is the parent of
+    # this one. Gateways adopt this version next, and the earlier one is never reported
+    # in force.
     _set_state(section, section.rolling, records.SUPERSEDED)
     _set_state(section, record.version, records.ROLLING)
     section.rolling = record.version
--- a/bilberrydrum/bundles/holder.py
+++ b/bilberrydrum/bundles/holder.py
@@ -1,8 +1,9 @@
-"""A gateway's side of the bundle lease, as a pure decision.
+"""A gateway's side of the bundle lease: events in, effects out, no I/O.
 
-The gateway acts on one bundle while its lease for it runs. The lease counts from when
-the renewal was sent, shortened by the drift margin; the leader counts from when it
-received it. So the gateway's lease always ends first. The version only rises.
+The gateway acts on one bundle while its lease for that bundle is valid. It counts the
+lease from when it sent the renewal, and shortens it by the drift margin; the leader
+counts it from when it received the renewal. So the lease always expires at the gateway
+first. The version only rises.
 """
 
 import functools
@@ -15,45 +16,45 @@
 from bilberrydrum import counters, interfaces, reasons
 from bilberrydrum.bundles import check, messages, model
 
-# Renewals whose grant may still come.
+# Number of latest renewals for which a grant is still accepted.
 _MAX_OUTSTANDING: Final = 64
 
 
 @attrs.frozen
 class RenewalDue:
-    """It is time to renew."""
+    """The next renewal is due."""
 
 
 @attrs.frozen
-class GrantHeard:
-    """A grant came from `address`."""
+class GrantReceived:
+    """A grant was received from `address`."""
 
     address: str
     grant: messages.Grant
-    # What the grant's content says; None: no content, or not readable here.
+    # The bundle in the grant; None: it has no content, or this release can't read it.
     bundle: model.Bundle | None = None
 
 
 @attrs.frozen
-class PushHeard:
-    """A rolling bundle was pushed by `address`."""
+class PushReceived:
+    """A rolling bundle was received from `address`."""
 
     address: str
     push: messages.Push
-    # What its content says; None: not readable here.
+    # The pushed bundle; None: this release can't read it.
     bundle: model.Bundle | None = None
 
 
 @attrs.frozen
 class Registered:
-    """The process has this incarnation from now on."""
+    """The process was registered and has this incarnation from now on."""
 
     incarnation: int
 
 
 @attrs.frozen
 class Released:
-    """The gateway gives its lease back and asks for none any more."""
+    """The gateway releases its lease and requests no more."""
 
 
 @attrs.frozen
@@ -66,7 +67,7 @@
 
 @attrs.frozen
 class Adopted:
-    """The gateway acts on another bundle now."""
+    """The gateway has switched to another bundle."""
 
     version: int
     is_valid: bool
@@ -74,9 +75,9 @@
 
 @attrs.define
 class LeaseHolder:
-    """What a gateway knows from the leader, and for how long it may act on it."""
+    """The bundle and directory of a gateway, and the lease under which it acts."""
 
-    # Share of a lease taken off for clocks that run at unlike rates.
+    # Share by which each lease is shortened, as clocks run at different rates.
     drift_margin: float
     incarnation: int = 0
     version: int = 0
@@ -89,14 +90,14 @@
     crashes_index: int = 0
     leader_address: str | None = None
     is_released: bool = False
-    # Version of the grant that `expires_at` is of.
+    # Version of the grant that set `expires_at`.
     _granted_version: int = 0
     _last_sequence: int = 0
-    _heard_sequence: int = 0
+    _answered_sequence: int = 0
     _sent_at_by_sequence: dict[int, float] = attrs.field(factory=dict)
 
     def step(self, now: float, event: object) -> list[Any]:
-        """Take `event` at time `now` and return the effects."""
+        """Apply `event` at time `now` and return the effects."""
         return _step(event, self, now)
 
     def current(self, now: float) -> result.Result[model.Bundle, reasons.Reason]:
@@ -112,8 +113,8 @@
         """Return the effect that sends the next renewal."""
         if self.is_released or not self.incarnation:
             return []
-        # A leader that left the last renewal unanswered may have lost its place.
-        is_answered = self._heard_sequence == self._last_sequence
+        # A leader that did not answer the last renewal may have been replaced.
+        is_answered = self._answered_sequence == self._last_sequence
         address = self.leader_address if is_answered else None
         self._last_sequence += 1
         self._sent_at_by_sequence[self._last_sequence] = now
@@ -124,58 +125,59 @@
         )
         return [SendRenewal(address, renewal)]
 
-    def take_grant(self, now: float, event: GrantHeard) -> list[Any]:
-        """Extend the lease, after adopting the bundle that it is for."""
+    def apply_grant(self, now: float, event: GrantReceived) -> list[Any]:
+        """Adopt the bundle of the grant, if it has one, and extend the lease."""
         grant = event.grant
         sent_at = self._sent_at_by_sequence.pop(grant.sequence, None)
         if grant.incarnation != self.incarnation or sent_at is None:
-            # For an earlier life, or a copy: when its renewal was sent isn't known,
-            # and a lease must not count from any later time.
+            # The grant is for an earlier incarnation, or a duplicate. It is not known
+            # when its renewal was sent, and a lease must not count from any later time.
             counters.dropped(reasons.Reason.MESSAGE_STALE_SENDER)
             return []
-        if grant.sequence > self._heard_sequence:
-            self._heard_sequence = grant.sequence
+        if grant.sequence > self._answered_sequence:
+            self._answered_sequence = grant.sequence
             self.leader_address = event.address
             self.weight_versions_by_trainer = grant.weight_versions_by_trainer
             self.crashes_index = grant.crashes_index
-        self._take_directory(grant.directory)
+        self._apply_directory(grant.directory)
         effects: list[Any] = []
         if grant.content is not None:
             effects = self._adopt(grant.version, event.bundle)
-        # A lease for another version than the one acted on would let the gateway go
-        # on with an older bundle after the newer one was reported in force.
+        # If a lease for another version counted, the gateway could continue with an
+        # older bundle after the newer one was reported in force.
         if grant.version != self.version:
             counters.dropped(reasons.Reason.BUNDLE_STALE)
             return effects
         ends_at = sent_at + grant.lease_seconds * (1 - self.drift_margin)
         if grant.version == self._granted_version:
             ends_at = max(ends_at, self.expires_at)
-        # The first grant for a version also ends a longer lease of the one before.
+        # The first grant for a version also replaces a longer lease for the previous
+        # version.
         self.expires_at = ends_at
         self._granted_version = grant.version
         return effects
 
-    def take_push(self, now: float, event: PushHeard) -> list[Any]:
-        """Adopt a rolling bundle and confirm it at once; the lease stays as it is."""
+    def apply_push(self, now: float, event: PushReceived) -> list[Any]:
+        """Adopt a rolling bundle and confirm it at once; the lease is not extended."""
         effects = self._adopt(event.push.version, event.bundle)
         if not effects:
             return []
         self.leader_address = event.address
-        self._heard_sequence = self._last_sequence
+        self._answered_sequence = self._last_sequence
         return [*effects, *self.renew(now)]
 
     def _adopt(self, version: int, bundle: model.Bundle | None) -> list[Any]:
-        # Messages overtake one another, and a leader that was frozen may wake with an
-        # old grant in hand: an older version never replaces a newer one.
+        # Messages may arrive out of order, and a leader that was suspended may send an
+        # old grant when it resumes. An older version must never replace a newer one.
         if version <= self.version:
             return []
         self.version = version
-        # A bundle that this release can't read still ends the older one: work is
-        # refused here until one comes that can be read.
+        # Even a bundle that this release can't read replaces the older one. The gateway
+        # then refuses work until it gets a bundle that it can read.
         self.bundle = bundle
         return [Adopted(version, bundle is not None)]
 
-    def _take_directory(self, directory: messages.Directory | None) -> None:
+    def _apply_directory(self, directory: messages.Directory | None) -> None:
         if directory is None or directory.change <= self.directory.change:
             return
         self.directory = directory
@@ -185,7 +187,7 @@
 
 
 def read(version: int, content: str | None) -> model.Bundle | None:
-    """Return the bundle that `content` says, None if there is none or it is faulty."""
+    """Return the bundle described by `content`; None: no content, or it is faulty."""
     if content is None:
         return None
     return check.check(content, f"bundle-{version}").ok()
@@ -193,7 +195,9 @@
 
 @functools.singledispatch
 def _step(event: object, holder: LeaseHolder, now: float) -> list[Any]:
-    raise TypeError(f"unknown event {type(event).__name__}")
+    raise TypeError(
+        f"expected an event of the lease holder, got {type(event).__name__}"
+    )
 
 
 @_step.register
@@ -202,13 +206,13 @@
 
 
 @_step.register
-def _(event: GrantHeard, holder: LeaseHolder, now: float) -> list[Any]:
-    return holder.take_grant(now, event)
+def _(event: GrantReceived, holder: LeaseHolder, now: float) -> list[Any]:
+    return holder.apply_grant(now, event)
 
 
 @_step.register
-def _(event: PushHeard, holder: LeaseHolder, now: float) -> list[Any]:
-    return holder.take_push(now, event)
+def _(event: PushReceived, holder: LeaseHolder, now: float) -> list[Any]:
+    return holder.apply_push(now, event)
 
 
 @_step.register
--- a/bilberrydrum/bundles/lease.py
+++ b/bilberrydrum/bundles/lease.py
@@ -1,4 +1,4 @@
-"""The gateway's task that keeps the bundle in force and the lease on it."""
+"""The gateway's task that keeps its bundle current and renews the lease on it."""
 
 from collections.abc import Mapping
 from typing import Any, Final
@@ -18,7 +18,7 @@
 
 
 class GatewayLease:
-    """Keeps `interfaces.BundleView` for this process."""
+    """Implements `interfaces.BundleView` for this process."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._tasks: list[Any] = []
         self._peers = peers.KnownPeers()
         self._is_registering = False
-        # The newest version that was, or is being, read.
+        # The newest version that was parsed or is being parsed.
         self._version_read = 0
         transport_.on(messages.Grant, self._on_grant)
         transport_.on(messages.Push, self._on_push)
@@ -46,7 +46,7 @@
         self._tasks.append(eventlet.spawn(self._run))
 
     def stop(self) -> None:
-        """Refuse new work from now on, and give the lease back."""
+        """Refuse new work from now on, and release the lease."""
         for task in self._tasks:
             task.kill()
         self._tasks.clear()
@@ -64,17 +64,17 @@
         return self._holder.gateways_by_id
 
     def weight_versions_by_trainer(self) -> Mapping[str, int]:
-        """Return the newest published versions as heard with the last renewal."""
+        """Return the newest published versions, as received with the last grant."""
         return self._holder.weight_versions_by_trainer
 
     def crashes_index(self) -> int:
-        """Return how far the record of calls that end upstreams is, as heard last."""
+        """Return the latest known index of the record of crash-causing requests."""
         return self._holder.crashes_index
 
     def ask_roll_status(
         self,
     ) -> result.Result[messages.RollStatus, transport.CallError]:
-        """Ask the leader how far the newest bundle has come."""
+        """Ask the leader for the progress of the newest bundle's roll."""
         address = self._holder.leader_address
         if address is None:
             return result.Err(transport.CallError(reasons.Reason.STATE_UNAVAILABLE))
@@ -90,37 +90,39 @@
             self._version_read = grant.version
             eventlet.spawn(self._read_grant, sender.address, grant)
             return
-        # Renewals that were sent while the bundle was being read bring it again.
+        # Renewals that are sent while the bundle is being parsed still name the old
+        # version, so their grants contain the bundle again. It is not parsed twice.
         grant = attrs.evolve(grant, content=None)
-        self._events.put(holder.GrantHeard(sender.address, grant))
+        self._events.put(holder.GrantReceived(sender.address, grant))
 
     def _on_push(self, sender: transport.Sender, push: messages.Push) -> None:
         if push.version > self._version_read:
             self._version_read = push.version
             eventlet.spawn(self._read_push, sender.address, push)
 
-    # Reading a large bundle takes long enough to hold up heartbeats and streams of
-    # this process, so it is done in a thread. Bundles may be read in any order: the
-    # holder takes none older than the one it has.
+    # Parsing a large bundle takes long enough to delay heartbeats and streams of this
+    # process, so it is done in a thread. Bundles may be parsed in any order: the holder
+    # adopts none that is older than its current one.
 
     def _read_grant(self, address: str, grant: messages.Grant) -> None:
         bundle = tpool.execute(holder.read, grant.version, grant.content)
-        self._events.put(holder.GrantHeard(address, grant, bundle))
+        self._events.put(holder.GrantReceived(address, grant, bundle))
 
     def _read_push(self, address: str, push: messages.Push) -> None:
         bundle = tpool.execute(holder.read, push.version, push.content)
-        self._events.put(holder.PushHeard(address, push, bundle))
+        self._events.put(holder.PushReceived(address, push, bundle))
 
     def _on_unregistered(
         self, sender: transport.Sender, message: messages.Unregistered
     ) -> None:
         is_current = message.incarnation == self._transport.incarnation
-        # A process that is going down stays unregistered.
+        # A process that is shutting down stays unregistered.
         if not is_current or self._is_registering or self._holder.is_released:
             return
         if message.is_superseded:
-            # A host that was taken for lost is back beside the one that replaced it.
-            # Were both to register in turn, each would end the other's lease for ever.
+            # A host that was considered lost is reachable again, together with the host
+            # that replaced it. If both registered in turn, they would invalidate each
+            # other's leases forever.
             self._holder.step(clock.now(), holder.Released())
             eliot.log_message(
                 message_type="process:superseded", incarnation=message.incarnation
@@ -130,7 +132,7 @@
         self._tasks.append(eventlet.spawn(self._register))
 
     def _register(self) -> None:
-        """Register anew: the leader took this process for gone."""
+        """Register again, as the leader has dropped this process."""
         incarnation = processes.register(self._options, self._state)
         self._transport.incarnation = incarnation
         self._events.put(holder.Registered(incarnation))
@@ -146,12 +148,12 @@
                 event = holder.RenewalDue()
                 due_at = clock.now() + renew_seconds
             try:
-                self._take(event)
+                self._handle(event)
             except Exception:
-                # Were this task to end, the gateway would refuse work from then on.
+                # If this task ended, the gateway would refuse work from then on.
                 eliot.write_traceback()
 
-    def _take(self, event: object) -> None:
+    def _handle(self, event: object) -> None:
         for effect in self._holder.step(clock.now(), event):
             self._carry_out(effect)
         self._forget_peers()
@@ -178,8 +180,8 @@
     def _addresses(self, leader_address: str | None) -> list[str]:
         if leader_address is not None:
             return [leader_address]
-        # Only the leader answers; the others are asked in vain. A process without
-        # members in its settings is a group of its own.
+        # The renewal is sent to all state processes, of which only the leader answers.
+        # A process without members in its settings forms a group by itself.
         members = [each.peer_address for each in self._options.state.members]
         known = self._holder.directory.state_addresses
         addresses = list(dict.fromkeys([*members, *known]))
--- a/bilberrydrum/bundles/messages.py
+++ b/bilberrydrum/bundles/messages.py
@@ -7,24 +7,25 @@
 
 @attrs.frozen
 class Directory:
-    """The processes of the system that a gateway needs to know."""
+    """The processes of the deployment that a gateway needs to know."""
 
-    # Rises with each change.
+    # Number of the change to the registered processes that this directory reflects; it
+    # rises with each change.
     change: int = 0
     gateways: tuple[interfaces.Gateway, ...] = ()
-    # Where processes with the state role are reached.
+    # Addresses of the processes that have the state role.
     state_addresses: tuple[str, ...] = ()
 
 
 @codec.register("bundles.renewal")
 @attrs.frozen
 class Renewal:
-    """A gateway asks for its lease, and says what it has.
+    """A gateway's request to renew its lease, with what the gateway already has.
 
-    It confirms at the same time that the gateway acts on nothing older than `version`.
+    It also confirms that the gateway acts on no bundle older than `version`.
     """
 
-    # Rises with each renewal of one life of the process.
+    # Rises with each renewal of one incarnation of the process.
     sequence: int
     version: int
     directory_change: int
@@ -37,32 +38,33 @@
 
     sequence: int
     incarnation: int
-    # The only version that the lease is for.
+    # The lease covers this version only.
     version: int
     lease_seconds: float
-    # The bundle's text, when the gateway has an older one.
+    # Text of the bundle, if the gateway's version is older.
     content: str | None = None
-    # When it has changed.
+    # The directory, if the gateway's copy is out of date.
     directory: Directory | None = None
     weight_versions_by_trainer: dict[str, int] = attrs.field(factory=dict)
-    # How far the record of calls that end upstreams is; a gateway behind it reads it.
+    # Index of the last change to the record of requests that crash upstreams. A gateway
+    # that has an older copy of the record fetches it.
     crashes_index: int = 0
 
 
 @codec.register("bundles.unregistered")
 @attrs.frozen
 class Unregistered:
-    """The leader does not know this life of the process; it must register."""
+    """The leader does not know this incarnation of the process; it must register."""
 
     incarnation: int
-    # Another process has registered under the same id since: this one must not.
+    # A newer process has registered under the same id, so this one must not register.
     is_superseded: bool = False
 
 
 @codec.register("bundles.push")
 @attrs.frozen
 class Push:
-    """A bundle is rolling; sent to all gateways at once."""
+    """A rolling bundle, which the leader sends to all gateways at once."""
 
     version: int
     content: str
@@ -71,7 +73,7 @@
 @codec.register("bundles.release")
 @attrs.frozen
 class Release:
-    """The gateway takes no more work; its lease ends now."""
+    """The gateway accepts no more work; its lease ends now."""
 
     incarnation: int
 
@@ -79,13 +81,13 @@
 @codec.register("bundles.ask_roll_status")
 @attrs.frozen
 class AskRollStatus:
-    """Ask the leader how far the newest bundle has come."""
+    """A request to the leader for the progress of the newest bundle's roll."""
 
 
 @codec.register("bundles.roll_status")
 @attrs.frozen
 class RollStatus:
-    """How far the newest bundle has come."""
+    """Progress of the newest bundle's roll."""
 
     version: int
     n_confirmed: int
--- a/bilberrydrum/bundles/peers.py
+++ b/bilberrydrum/bundles/peers.py
@@ -1,7 +1,7 @@
-"""Addresses of the system's other processes, to notice which have left.
+"""Addresses of the deployment's other processes, to detect which of them have left.
 
-A fleet replaces hosts all day. Connections to those that have gone would be kept, and
-tried again, until the process runs out of sockets.
+A fleet replaces hosts all day. Connections to hosts that have left would otherwise be
+kept and retried until the process runs out of sockets.
 """
 
 from collections.abc import Iterable
@@ -11,34 +11,36 @@
 
 @attrs.define
 class KnownPeers:
-    """The addresses that were known last."""
+    """The addresses that are registered, and others that messages were sent to."""
 
     addresses: frozenset[str] = frozenset()
-    # The number of the change that they are from.
+    # Number of the registry change that `addresses` reflects.
     change: int = -1
-    # Others that were answered, now and before the last look.
-    _strangers: set[str] = attrs.field(factory=set)
-    _earlier_strangers: set[str] = attrs.field(factory=set)
+    # Unregistered addresses that messages were sent to, since the last call of
+    # `find_unknown` and in the interval before that call.
+    _unknown: set[str] = attrs.field(factory=set)
+    _earlier_unknown: set[str] = attrs.field(factory=set)
 
     def replace(self, change: int, addresses: Iterable[str]) -> frozenset[str]:
-        """Take the addresses of now; return those that are known no more."""
+        """Replace the registered addresses; return those no longer registered."""
         if change == self.change:
             return frozenset()
         self.change = change
         earlier, self.addresses = self.addresses, frozenset(addresses)
         return earlier - self.addresses
 
-    def note_sent(self, address: str) -> None:
-        """Note that something was sent to `address`."""
+    def record_sent(self, address: str) -> None:
+        """Record that a message was sent to `address`."""
         if address not in self.addresses:
-            self._strangers.add(address)
+            self._unknown.add(address)
 
-    def find_strangers(self) -> set[str]:
-        """Return addresses that were sent to a while ago and still aren't known.
+    def find_unknown(self) -> set[str]:
+        """Return unregistered addresses that messages were sent to some time ago.
 
-        A process that is known no more, and was told so, is one: the answer opened a
-        connection that no change of the addresses would close.
+        One case is a process that was dropped from the registry and got an answer that
+        says so. The answer opened a connection, which no later change of the registered
+        addresses would close.
         """
-        found = self._earlier_strangers - self.addresses
-        self._earlier_strangers, self._strangers = self._strangers, set()
+        found = self._earlier_unknown - self.addresses
+        self._earlier_unknown, self._unknown = self._unknown, set()
         return found
--- a/bilberrydrum/bundles/queries.py
+++ b/bilberrydrum/bundles/queries.py
@@ -10,7 +10,7 @@
 @codec.register("bundles.list")
 @attrs.frozen
 class ListBundles:
-    """Ask for all bundles kept; answered by `BundleList`."""
+    """Ask for all bundles that are kept; answered by `BundleList`."""
 
 
 @codec.register("bundles.get")
@@ -24,10 +24,10 @@
 @codec.register("bundles.bundle_list")
 @attrs.frozen
 class BundleList:
-    """All bundles kept, in the order of their submission, without contents."""
+    """All bundles that are kept, in order of submission, without their contents."""
 
     in_force: int
-    # The bundle on its way to all gateways; 0: none.
+    # The version that is being rolled to all gateways; 0: none.
     rolling: int
     bundles: tuple[records.Record, ...]
 
@@ -35,7 +35,7 @@
 @codec.register("bundles.bundle_found")
 @attrs.frozen
 class BundleFound:
-    """One bundle; no record: it isn't known, or no longer kept."""
+    """One bundle; `record` is None if it is unknown or no longer kept."""
 
     in_force: int
     rolling: int
--- a/bilberrydrum/bundles/records.py
+++ b/bilberrydrum/bundles/records.py
@@ -1,9 +1,9 @@
-"""The state's section of bundles: one record per version, and which is in force.
+"""The section of the state for bundles: one record per version, and which is in force.
 
-The section stays flat under any number of changes: contents are kept of the bundles
-that may still be rolled or acted on and of the newest `CONTENTS_KEPT` others; version,
-digest and author are kept of `RECORDS_KEPT` records, so that a change resent days later
-still gets its answer.
+The size of the section stays bounded under any number of changes. Contents are kept for
+the bundles that may still be rolled or acted on, and for the newest `CONTENTS_KEPT`
+others. Version, digest and author are kept for `RECORDS_KEPT` records, so that a change
+that is resent days later still gets its answer.
 """
 
 from typing import Final
@@ -16,11 +16,12 @@
 
 SECTION: Final = "bundles"
 
-# Contents kept beside those of live bundles, to look at and to copy from.
+# Number of contents kept in addition to those of bundles that may still be rolled or
+# acted on, so that operators can read them and copy from them.
 CONTENTS_KEPT: Final = 32
-# Records kept in all: more than three days at 560 changes a day.
+# Number of closed records kept: more than three days at 560 changes a day.
 RECORDS_KEPT: Final = 2048
-# Bundles that may wait for sign-off or roll on the same parent.
+# Maximum number of bundles with the same parent that wait for sign-off or roll.
 MAX_OPEN_DRAFTS: Final = 32
 
 DRAFT: Final = "draft"
@@ -38,10 +39,10 @@
     version: int
     parent: int
     digest: str
-    # The operator whose submission came first.
+    # The operator whose submission was applied first.
     author: str
     cut_policy: str
-    # The YAML text; empty once it is no longer kept.
+    # The YAML text; empty when it is no longer kept.
     content: str
     state: str = DRAFT
     signed_off_by: str = ""
@@ -54,65 +55,68 @@
 
     records_by_version: dict[int, Record] = attrs.field(factory=dict)
     in_force: int = 0
-    # The bundle on its way to all gateways; 0: none.
+    # The version that is being rolled to all gateways; 0: none.
     rolling: int = 0
-    # Highest version that a gateway was heard to act on after a restore of an older
-    # copy of the state; 0: no such restore.
+    # Highest version on which a gateway was found to act after an older copy of the
+    # state was restored; 0: there was no such restore.
     highest_seen: int = 0
-    # Longest leases that a leader may have granted, in seconds.
+    # Longest leases that any leader may have granted, in seconds, for bundles with the
+    # partition policies "refuse" and "hold".
     lease_seconds: float = 0.0
     hold_lease_seconds: float = 0.0
 
 
 def section_of(state: machine.State) -> Section:
-    """Return the section of `state`, for commands to change."""
+    """Return the section of `state` for commands, which may change it."""
     section: Section = state.section(SECTION, Section)
     return section
 
 
 def read(state: machine.State) -> Section:
-    """Return the section of `state`, for readers, who must not change the state."""
+    """Return the section of `state` for readers, which must not change it."""
     section: Section = state.sections.get(SECTION) or Section()
     return section
 
 
 def newest(section: Section) -> int:
-    """Return the version that gateways shall act on; 0: none yet."""
+    """Return the version on which gateways must act; 0: none yet."""
     return section.rolling or section.in_force
 
 
 def newest_record(section: Section) -> Record | None:
-    """Return the record of the version that gateways shall act on."""
+    """Return the record of the version on which gateways must act."""
     return section.records_by_version.get(newest(section))
 
 
 def is_open(section: Section, record: Record) -> bool:
-    """Tell whether `record` may still be rolled one day."""
+    """Return whether `record` may still be rolled."""
     is_before_roll = record.state in (DRAFT, SIGNED_OFF)
     return is_before_roll and record.parent == newest(section)
 
 
 def longest_lease_seconds(section: Section) -> float:
-    """Return the longest lease that any leader may have granted and that still counts.
+    """Return the longest lease that may still be valid, whichever leader granted it.
 
-    Until the newest is in force everywhere, gateways may act on any version from the
-    one in force on; each was granted for as long as its own policy says.
+    Until the newest version is in force everywhere, gateways may act on the version in
+    force or any later one. The length of a lease depends on the policy of the version
+    for which it was granted.
     """
-    holds_through_cuts = any(
+    may_hold = any(
         record.cut_policy == model.CUT_HOLD
         for version, record in section.records_by_version.items()
         if version >= section.in_force
         and record.state in (ROLLING, IN_FORCE, SUPERSEDED)
     )
-    return section.hold_lease_seconds if holds_through_cuts else section.lease_seconds
+    return section.hold_lease_seconds if may_hold else section.lease_seconds
 
 
 @machine.keep_rising.register
 def _(section: Section, current: Section | None) -> None:
     """Keep the newest bundle when an older copy of the state is restored.
 
-    Gateways act on the newest bundle, and an accepted one must not be taken back. If
-    the copy is older, only records that are not known any more are taken from it.
+    Gateways act on the newest bundle, and an accepted bundle must not be reverted. If
+    the copy is older, only those of its records are used that the current state has
+    dropped.
     """
     if current is None:
         return
@@ -144,7 +148,8 @@
         for version, record in section.records_by_version.items()
         if version not in (section.in_force, section.rolling)
         and not is_open(section, record)
-        # Records since the one in force say how long leases may be.
+        # `longest_lease_seconds` needs the policies of all versions from the one in
+        # force on.
         and not (record.state == SUPERSEDED and version > section.in_force)
     ]
     n_dropped = max(0, len(closed) - RECORDS_KEPT)
--- a/bilberrydrum/fleet/control.py
+++ b/bilberrydrum/fleet/control.py
@@ -285,7 +285,7 @@
         feed = self._feed_for(noted)
         if self._usage is None:
             return feed
-        self._usage.heard(sender.address, message.unix_time, message.usage)
+        self._usage.handle_renewal(sender.address, message.unix_time, message.usage)
         return attrs.evolve(
             feed,
             unix_time=self._usage.unix_time(),
--- a/bilberrydrum/fleet/messages.py
+++ b/bilberrydrum/fleet/messages.py
@@ -185,7 +185,7 @@
     # The process's own time of day, in seconds; 0: not told.
     unix_time: float = 0.0
     # Set by gateways where use is reported.
-    usage: usage_model.Telling | None = None
+    usage: usage_model.CountsSnapshot | None = None
 
 
 @codec.register("fleet.feed")
--- a/bilberrydrum/nodes/gateway.py
+++ b/bilberrydrum/nodes/gateway.py
@@ -68,12 +68,12 @@
         self.is_draining = False
 
     def _make_request(self) -> messages.Subscribe:
-        telling = self._meter.telling() if self._meter is not None else None
-        return messages.Subscribe(usage=telling)
+        snapshot = self._meter.snapshot() if self._meter is not None else None
+        return messages.Subscribe(usage=snapshot)
 
     def _on_answer(self, feed: messages.Feed, asked_at: float) -> None:
         if self._meter is not None:
-            self._meter.learn(
+            self._meter.update(
                 feed.unix_time, asked_at, clock.now(), feed.usage_closed_before
             )
 
--- a/bilberrydrum/usage/__init__.py
+++ b/bilberrydrum/usage/__init__.py
@@ -1,7 +1,8 @@
-"""Reports of use: what upstreams began for each client account, by windows of time.
+"""Usage reports: how many requests upstreams began for each account per time window.
 
-Gateways count (`meter`) and tell the control leader with their renewals (`model`). The
-leader gathers (`gathering`), the control group closes each window once and for all
-(`commands`), and the leader reports it until it is confirmed (`reporter`). Windows are
-those of a clock on which most processes agree (`agreed_time`).
+Gateways count requests (`meter`) and send their counts to the control leader with their
+renewals (`model`). The leader collects the counts (`collector`), the control group
+closes each window exactly once (`commands`), and the leader reports a window until the
+receiver has confirmed it (`reporter`). Windows are those of the cluster's clock, the
+median of the processes' clocks (`cluster_clock`).
 """
--- a/bilberrydrum/usage/commands.py
+++ b/bilberrydrum/usage/commands.py
@@ -1,8 +1,8 @@
 """The control group's record of windows: which are closed, and which are reported.
 
-A window is closed by one command, and what it says then is what is reported, by this
-leader or any later one, once or ten times. Two reports of one window that differ cannot
-both come from here.
+One command closes a window and fixes its counts. These counts are what this leader and
+any later one report, however often they report the window, so two reports of one window
+cannot differ.
 """
 
 from typing import Final
@@ -15,24 +15,24 @@
 from bilberrydrum.usage import model
 
 SECTION: Final = "usage"
-# Closed windows that are kept while the receiver takes none: 2.7 hours of windows of
-# 5 s. Beyond it the oldest go, as the group's memory must stay bounded.
+# Maximum number of closed windows kept while the receiver accepts no reports: 2.7 hours
+# of windows of 5 s. Beyond it the oldest are dropped to bound the group's memory.
 MAX_PENDING: Final = 2_000
 
 
 @codec.register("usage.section")
 @attrs.define
 class Section:
-    """The whole record."""
+    """The complete record."""
 
-    # All windows before this one are closed; 0: none is.
+    # All windows before this one are closed; 0: none is closed.
     closed_before: int = 0
-    # Closed and not confirmed by the receiver, the oldest first.
+    # Windows that are closed but not confirmed by the receiver, the oldest first.
     pending_by_window: dict[int, model.WindowCounts] = attrs.field(factory=dict)
 
 
 def section_of(state: machine.State) -> Section:
-    """Return the section in `state`."""
+    """Return the section of `state`."""
     found: Section = state.section(SECTION, Section)
     return found
 
@@ -40,7 +40,7 @@
 @codec.register("usage.close-windows")
 @attrs.frozen
 class CloseWindows:
-    """Close windows with these counts; one that is closed already stays as it is."""
+    """Close windows with these counts; a window that is already closed is unchanged."""
 
     windows: tuple[model.WindowCounts, ...]
 
@@ -48,21 +48,23 @@
 @codec.register("usage.confirm-windows")
 @attrs.frozen
 class ConfirmWindows:
-    """The receiver has taken the reports of these windows."""
+    """Record that the receiver has confirmed the reports of these windows."""
 
     windows: tuple[int, ...]
 
 
 @codec.register("usage.noted")
 @attrs.frozen
-class Noted:
-    """All windows before this one are closed."""
+class Recorded:
+    """The answer to both commands: all windows before this one are closed."""
 
     closed_before: int
 
 
 @machine.apply.register
-def _(command: CloseWindows, state: machine.State, context: machine.Context) -> Noted:
+def _(
+    command: CloseWindows, state: machine.State, context: machine.Context
+) -> Recorded:
     section = section_of(state)
     for given in command.windows:
         if given.window < section.closed_before:
@@ -72,12 +74,14 @@
     while len(section.pending_by_window) > MAX_PENDING:
         dropped = section.pending_by_window.pop(min(section.pending_by_window))
         eliot.log_message(message_type="usage:never-reported", window=dropped.window)
-    return Noted(section.closed_before)
+    return Recorded(section.closed_before)
 
 
 @machine.apply.register
-def _(command: ConfirmWindows, state: machine.State, context: machine.Context) -> Noted:
+def _(
+    command: ConfirmWindows, state: machine.State, context: machine.Context
+) -> Recorded:
     section = section_of(state)
     for window in command.windows:
         section.pending_by_window.pop(window, None)
-    return Noted(section.closed_before)
+    return Recorded(section.closed_before)
--- a/bilberrydrum/usage/meter.py
+++ b/bilberrydrum/usage/meter.py
@@ -1,4 +1,4 @@
-"""Counts the requests that upstreams begin, at one gateway."""
+"""Counts the requests that upstreams begin for one gateway."""
 
 import collections
 import contextlib
@@ -10,26 +10,26 @@
 import eliot
 
 from bilberrydrum import clock, counters
-from bilberrydrum.usage import agreed_time, model
+from bilberrydrum.usage import cluster_clock, model
 
-# Windows whose counts are kept while no leader closes them. At 5 s a window that is two
-# minutes without a control group, some 0.5 MB at 27 requests a second; a report is long
-# overdue by then.
+# Maximum number of windows whose counts are kept while no leader closes them: two
+# minutes of windows of 5 s, some 0.5 MB at 27 requests a second. By then the reports
+# are long overdue.
 MAX_WINDOWS: Final = 24
 
 
 @attrs.define(eq=False)
 class Attempt:
-    """A request on its way to one upstream."""
+    """One attempt to send a request to an upstream."""
 
     account: str
     opened_at: float
-    # When it was sent, in seconds of `clock.now`; None: no upstream began it.
+    # When the request was sent, in seconds of `clock.now`; None: no upstream began it.
     began_at: float | None = None
 
 
 class Meter:
-    """What this gateway has counted and not seen closed."""
+    """The requests counted at this gateway, for windows not known to be closed."""
 
     def __init__(self, window_seconds: float) -> None:
         self._window_seconds = window_seconds
@@ -37,26 +37,26 @@
         self._sequence = 0
         self._closed_before = 0
         self._counts_by_window: dict[int, collections.Counter[str]] = {}
-        self._under_way: set[Attempt] = set()
-        self.time = agreed_time.AgreedTime()
-        # Nothing more will begin.
+        self._in_flight: set[Attempt] = set()
+        self.time = cluster_clock.ClusterClock()
+        # Whether the gateway is stopping and will begin no more attempts.
         self.is_stopping = False
 
     @contextlib.contextmanager
     def attempt(self, account: str) -> Iterator[Attempt]:
-        """Count what the block sends, if it notes in `began_at` that it was begun."""
+        """Count the attempt made in the block, if the block sets its `began_at`."""
         opened = Attempt(account, clock.now())
-        self._under_way.add(opened)
+        self._in_flight.add(opened)
         try:
             yield opened
         finally:
-            self._under_way.discard(opened)
+            self._in_flight.discard(opened)
             if opened.began_at is not None:
                 self._count(opened.account, opened.began_at)
 
     def _count(self, account: str, began_at: float) -> None:
         if not self.time.is_known:
-            # No leader was ever heard, so there is no policy that has accounts.
+            # No leader has ever answered, so there is no policy with accounts yet.
             return
         window = self._window_at(began_at)
         if window < self._closed_before:
@@ -84,28 +84,38 @@
     def _window_at(self, at: float) -> int:
         return model.window_at(self.time.unix_time(at), self._window_seconds)
 
-    def learn(
+    def update(
         self,
         unix_time: float,
-        asked_at: float,
-        answered_at: float,
+        sent_at: float,
+        received_at: float,
         closed_before: int,
     ) -> None:
-        """Take the leader's time of day, and which windows are closed."""
+        """Apply the leader's time of day and closed windows from an answer.
+
+        Parameters
+        ----------
+        unix_time : float
+            The leader's time of day, in seconds; 0: not sent.
+        sent_at, received_at : float
+            When the request was sent and its answer came, in seconds of `clock.now`.
+        closed_before : int
+            All windows before this one are closed.
+        """
         if unix_time:
-            self.time.learn(unix_time, asked_at, answered_at)
+            self.time.add_sample(unix_time, sent_at, received_at)
         self._closed_before = max(self._closed_before, closed_before)
         for window in list(self._counts_by_window):
             if window < self._closed_before:
                 del self._counts_by_window[window]
 
-    def telling(self) -> model.Telling | None:
-        """Return what the leader is to know; None: there are no windows yet."""
+    def snapshot(self) -> model.CountsSnapshot | None:
+        """Return the counts for the leader; None: the time of day is not known yet."""
         if not self.time.is_known:
             return None
         self._sequence += 1
-        since = min((each.opened_at for each in self._under_way), default=clock.now())
-        return model.Telling(
+        since = min((each.opened_at for each in self._in_flight), default=clock.now())
+        return model.CountsSnapshot(
             self._incarnation,
             self._sequence,
             self._window_at(since),
@@ -113,13 +123,13 @@
                 model.WindowCounts(window, dict(counts))
                 for window, counts in sorted(self._counts_by_window.items())
             ),
-            self.is_stopping and not self._under_way,
+            self.is_stopping and not self._in_flight,
         )
 
 
 @contextlib.contextmanager
 def attempt(meter: Meter | None, account: str | None) -> Iterator[Attempt]:
-    """Count by `meter` what the block sends; None: use is not counted."""
+    """Count the attempt made in the block; no meter or account: count nothing."""
     if meter is None or not account:
         yield Attempt("", 0.0)
         return
--- a/bilberrydrum/usage/model.py
+++ b/bilberrydrum/usage/model.py
@@ -1,4 +1,4 @@
-"""Counts of begun requests, and how gateways tell them."""
+"""Counts of begun requests, and the message in which gateways send them."""
 
 import math
 
@@ -9,25 +9,25 @@
 
 @attrs.frozen
 class UsageOptions:
-    """How use is reported; times are in seconds."""
+    """How usage is reported; times are in seconds."""
 
-    # Length of a window. Window k begins k times this after the start of 1970.
+    # Length of a window. Window k begins k times this length after the Unix epoch.
     window_seconds: float
     # A window's report is due this long after the window's end.
     due_seconds: float
-    # Where reports are sent, ``IP:port``.
+    # Address to which reports are sent, ``IP:port``.
     address: str
 
 
 def window_at(unix_time: float, window_seconds: float) -> int:
-    """Return the number of the window that `unix_time`, in seconds, lies in."""
+    """Return the number of the window that contains `unix_time`, in seconds."""
     return math.floor(unix_time / window_seconds)
 
 
 @codec.register("usage.window-counts")
 @attrs.frozen
 class WindowCounts:
-    """Requests that began in one window."""
+    """Numbers of requests that began in one window."""
 
     window: int
     n_by_account: dict[str, int]
@@ -35,19 +35,19 @@
 
 @codec.register("usage.telling")
 @attrs.frozen
-class Telling:
-    """All that one gateway has counted of the windows that are not closed.
+class CountsSnapshot:
+    """All counts of one gateway for the windows that are not closed.
 
-    Whole each time: a telling that is lost, doubled, or heard by another leader leaves
-    nothing to be added up.
+    Each snapshot is complete, so it does no harm if one is lost, duplicated or received
+    by another leader.
     """
 
-    # Unlike that of any other start of the process.
+    # Identifies one start of the process.
     incarnation: str
-    # A higher one is newer.
+    # A snapshot with a higher number is newer.
     sequence: int
-    # No request that is under way here began before this window.
+    # No request that is in flight at this gateway began before this window.
     complete_before: int
     counts: tuple[WindowCounts, ...] = ()
-    # The gateway stops: nothing more will begin.
+    # Whether the gateway is stopping, so that no more requests will begin.
     is_last: bool = False
--- a/bilberrydrum/usage/reporter.py
+++ b/bilberrydrum/usage/reporter.py
@@ -1,4 +1,4 @@
-"""The control leader's part of reports of use: gather, close windows, report them."""
+"""The control leader's part of usage reports: collect, close windows, report them."""
 
 import functools
 import itertools
@@ -12,58 +12,60 @@
 from bilberrydrum import backoff, clock, counters, upstream_protocol
 from bilberrydrum.requests import single_calls
 from bilberrydrum.state import replica, tenure
-from bilberrydrum.usage import agreed_time, commands, gathering, model
+from bilberrydrum.usage import cluster_clock, collector, commands, model
 
-# How often windows are looked at: a report has seconds, and each look is cheap.
-_LOOK_SECONDS: Final = 0.25
+# Interval at which windows are checked: a report is due only after seconds, and a check
+# is cheap.
+_CHECK_SECONDS: Final = 0.25
 # Time for a command to be committed before it is tried again.
 _COMMIT_SECONDS: Final = 3.0
-# Windows closed by one command; after a long stand-still there are many.
+# Maximum number of windows closed by one command; after a long outage there are many.
 _MAX_WINDOWS: Final = 64
-# A new leader waits this long for gateways it has not heard of; six renewals. The
-# clocks of processes that are silent for so long count no more.
-_GATHER_SECONDS: Final = 3.0
-# Time for the receiver to answer, in seconds. A report may be sent again, so what is
-# slower costs a call and nothing else.
+# A new leader waits this long, six renewals, for snapshots of gateways. Clocks of
+# processes that have been silent for this long are left out of the median.
+_COLLECT_SECONDS: Final = 3.0
+# Timeout of a call to the receiver, in seconds. A report may be sent again, so a slower
+# answer just costs another call.
 ANSWER_SECONDS: Final = 2.0
-# Pauses after a call that was not taken, in seconds, first and at most: the receiver
-# may be down, and bounds the calls of all processes together.
+# First and longest pause after a call that was not accepted, in seconds. The receiver
+# may be down, and it limits the total rate of calls of all processes.
 _FIRST_PAUSE_SECONDS: Final = 0.2
 _MAX_PAUSE_SECONDS: Final = 1.0
 _OK: Final = 200
-# The receiver has seen a higher number.
+# Status with which the receiver refuses a number lower than one that it has seen.
 _CONFLICT: Final = 409
 
 
-# Sends a message that is made last, and returns what became of it.
+# Calls its argument right before sending, sends the message that this returns, and
+# returns the outcome.
 Call = Callable[
     [Callable[[], upstream_protocol.OrderMessage | None]], single_calls.Reply
 ]
 
 
 class ReportProtocol(Protocol):
-    """Kept by the deployment's adapter."""
+    """Implemented by the deployment's adapter."""
 
     def report(
         self, counts: model.WindowCounts, holder: str, number: int
     ) -> upstream_protocol.OrderMessage:
         """Return the request that reports one window.
 
-        Two reports of the same counts must be the same to the byte, but for who sends
-        them.
+        Two reports of the same counts must be identical to the byte, except for the
+        holder and the number.
         """
 
 
 @attrs.frozen
 class _Clock:
-    """What a process's time of day said, against this one's steady clock."""
+    """Offset of a process's time of day from this process's steady clock."""
 
     offset: float
-    heard_at: float
+    received_at: float
 
 
 class UsageReporter:
-    """The task beside one replica of the control group."""
+    """The usage tasks of one replica of the control group; they act while it leads."""
 
     def __init__(
         self,
@@ -74,16 +76,17 @@
         reports_tenure: tenure.Tenure,
         call: Call,
     ) -> None:
-        """Make the task; nothing runs before `start`.
+        """Create the reporter; its tasks run from `start` on.
 
         Parameters
         ----------
         holder : str
-            Name of this host, for the receiver.
+            Name of this host, which the receiver gets with each report.
         reports_tenure : tenure.Tenure
             The right to report.
         call : callable
-            Sends what its argument returns to the receiver; see `single_calls.call`.
+            Calls the receiver; its argument prepares the message. See
+            `single_calls.call`.
         """
         self._options = options
         self._replica = replica_
@@ -92,47 +95,57 @@
         self._tenure = reports_tenure
         self._call = call
         self._term = 0
-        self._gathering = gathering.Gathering(options, 0.0)
+        self._collector = collector.CountsCollector(options, 0.0)
         self._clocks_by_address: dict[str, _Clock] = {}
         self._pause = backoff.Backoff(_FIRST_PAUSE_SECONDS, _MAX_PAUSE_SECONDS)
         self._tasks: list[Any] = []
 
     def start(self) -> None:
-        """Start to close windows and to report them."""
+        """Start the tasks that close windows and report them."""
         self._tasks = [
             eventlet.spawn(self._repeat, self.close_windows),
             eventlet.spawn(self._repeat, self.report),
         ]
 
     def stop(self) -> None:
-        """Send nothing more; the next leader goes on."""
+        """Stop reporting; the next leader continues."""
         for task in self._tasks:
             task.kill()
         self._tasks.clear()
 
     # Gateways
 
-    def heard(
-        self, address: str, unix_time: float, telling: model.Telling | None
+    def handle_renewal(
+        self, address: str, unix_time: float, snapshot: model.CountsSnapshot | None
     ) -> None:
-        """Take what a process tells with its renewal."""
-        self._notice_leadership()
+        """Record the time of day and the counts that a process sent with its renewal.
+
+        Parameters
+        ----------
+        address : str
+            Address of the process.
+        unix_time : float
+            The process's time of day, in seconds; 0: not sent.
+        snapshot : model.CountsSnapshot, optional
+            The process's counts, if it is a gateway.
+        """
+        self._check_leadership()
         now = clock.now()
         if unix_time:
             self._clocks_by_address[address] = _Clock(unix_time - now, now)
-        if telling is not None:
-            self._gathering.note(address, telling, now)
+        if snapshot is not None:
+            self._collector.record(address, snapshot, now)
 
     def unix_time(self) -> float:
-        """Return the time of day that most processes agree on, in seconds."""
+        """Return the cluster's time of day, in seconds."""
         now = clock.now()
         offsets = [
             each.offset
             for each in self._clocks_by_address.values()
-            if now - each.heard_at < _GATHER_SECONDS
+            if now - each.received_at < _COLLECT_SECONDS
         ]
         offsets.append(clock.unix_now() - now)
-        agreed = agreed_time.median_offset(offsets)
+        agreed = cluster_clock.median_offset(offsets)
         assert agreed is not None
         return now + agreed
 
@@ -144,41 +157,41 @@
 
     def _repeat(self, step: Callable[[], None]) -> None:
         while True:
-            clock.sleep(_LOOK_SECONDS)
+            clock.sleep(_CHECK_SECONDS)
             try:
                 step()
             except Exception:
-                # Were this task to end, this replica could lead without reporting.
+                # If this task ended, this replica could lead without reporting.
                 eliot.write_traceback()
 
     def _section(self) -> commands.Section:
         return commands.section_of(self._replica.state())
 
-    def _notice_leadership(self) -> None:
+    def _check_leadership(self) -> None:
         held = self._replica.leadership()
         if held is not None and held.term != self._term:
             self._term = held.term
             self._clocks_by_address.clear()
-            self._gathering = gathering.Gathering(self._options, clock.now())
+            self._collector = collector.CountsCollector(self._options, clock.now())
 
     def close_windows(self) -> None:
         """Close the windows that are due, if this replica leads."""
-        self._notice_leadership()
+        self._check_leadership()
         if self._replica.leadership() is None:
             return
-        first = self._section().closed_before or self._gathering.first_window()
+        first = self._section().closed_before or self._collector.first_window()
         if first is None:
-            # Nothing was ever counted.
+            # No gateway has counted anything yet.
             return
-        windows = self._gathering.closable(
-            first, self.unix_time(), clock.now(), _GATHER_SECONDS
+        windows = self._collector.closable(
+            first, self.unix_time(), clock.now(), _COLLECT_SECONDS
         )
         closed = tuple(itertools.islice(windows, _MAX_WINDOWS))
         if not closed:
             return
         answer = self._replica.propose(commands.CloseWindows(closed), _COMMIT_SECONDS)
         if answer.is_ok():
-            self._gathering.forget_before(closed[-1].window + 1)
+            self._collector.forget_before(closed[-1].window + 1)
         for each in closed:
             eliot.log_message(
                 message_type="usage:closed",
@@ -190,7 +203,7 @@
             )
 
     def report(self) -> None:
-        """Send all closed windows that are not confirmed, the oldest first."""
+        """Report all closed windows that are not confirmed, the oldest first."""
         pending = self._section().pending_by_window
         counters.USAGE_PENDING.set(len(pending))
         taken = []
@@ -199,13 +212,14 @@
                 break
             taken.append(window)
         if taken:
-            # Lost, they are sent again, which changes nothing at the receiver.
+            # If the command is lost, the reports are sent again, which the receiver
+            # ignores.
             self._replica.propose(
                 commands.ConfirmWindows(tuple(taken)), _COMMIT_SECONDS
             )
 
     def _send(self, counts: model.WindowCounts) -> bool:
-        """Report one window; False: it was not taken, and others wait."""
+        """Report one window; False: it was not accepted, and later windows wait."""
         if self._pause.remaining(clock.now()) or self._replica.leadership() is None:
             return False
         numbers: list[int] = []
--- a/misc/measures/capacity_records.py
+++ b/misc/measures/capacity_records.py
@@ -104,7 +104,7 @@
         )
         yield bundle_commands.SignOffBundle(version, digest, "ben")
         yield bundle_commands.RollBundle(version, digest, "ben")
-        yield bundle_commands.NoteInForce(version)
+        yield bundle_commands.MarkInForce(version)
 
 
 def gateways(n: int) -> Iterator[object]:
--- a/tests/fakes/lease_world.py
+++ b/tests/fakes/lease_world.py
@@ -1,6 +1,6 @@
-"""Gateways and leaders exchanging bundle leases, with every message in the test's hand.
+"""Gateways and leaders that exchange bundle leases; the test controls every message.
 
-Each process has a clock of its own rate. A message that was sent lies in `in_flight`
+The clock of each process has its own rate. A message that was sent stays in `in_flight`
 until the test delivers, copies or drops it.
 """
 
@@ -10,10 +10,10 @@
 
 from bilberrydrum import options
 from bilberrydrum.bundles import (
-    book,
     commands,
     grants,
     holder,
+    lease_table,
     messages,
     model,
     records,
@@ -29,7 +29,7 @@
 
 @attrs.define
 class Message:
-    """A message on its way; the sender and receiver are gateways' keys or leaders."""
+    """A message in flight between a `Gateway` and a `Leader`."""
 
     sender: Any
     receiver: Any
@@ -38,7 +38,7 @@
 
 @attrs.define(eq=False)
 class Gateway:
-    """One life of a gateway."""
+    """One incarnation of a gateway."""
 
     process_id: str
     incarnation: int
@@ -52,12 +52,12 @@
     """One term of a leader."""
 
     rate: float
-    book: book.GrantBook
+    lease_table: lease_table.LeaseTable
     leads: bool = True
 
 
 class World:
-    """All of them, and the state they share."""
+    """The gateways, the leader, and the replicated state."""
 
     def __init__(self, rates: dict[str, float] | None = None) -> None:
         self.now = 1000.0
@@ -66,36 +66,41 @@
             bundle_lease_seconds=LEASE, bundle_hold_lease_seconds=HOLD_LEASE
         )
         self.in_flight: list[Message] = []
-        self.lives: list[Gateway] = []
+        self.incarnations: list[Gateway] = []
         self.gateways_by_id: dict[str, Gateway] = {}
         self.leader: Leader = self.elect()
         for process_id, rate in (rates or {"g0": 1.0, "g1": 1.0}).items():
             self.start_gateway(process_id, rate)
 
-    # What happens.
+    # Events
 
     def elect(self, rate: float = 1.0) -> Leader:
-        """Let a new leader take over; the earlier one's right has ended."""
+        """Let a new leader take over; the earlier leader's right to grant has ended."""
         if hasattr(self, "leader"):
             self.leader.leads = False
         self.state.apply(commands.StartGrants(1, LEASE, HOLD_LEASE))
-        the_book = grants.begin_book(self.state.state(), self.now * rate)
-        self.leader = Leader(rate, the_book)
-        self.step_leader(book.Tick())
+        table = grants.create_table(self.state.state(), self.now * rate)
+        self.leader = Leader(rate, table)
+        self.step_leader(lease_table.Tick())
         return self.leader
 
     def start_gateway(self, process_id: str, rate: float = 1.0) -> Gateway:
-        """Start a gateway, or start it anew while its earlier life lingers on."""
+        """Start a gateway, or restart it while its earlier incarnation still runs."""
         command = processes.RegisterProcess(
-            process_id, process_id, "z", "r", ("gateway",), f"token-{len(self.lives)}"
+            process_id,
+            process_id,
+            "z",
+            "r",
+            ("gateway",),
+            f"token-{len(self.incarnations)}",
         )
         incarnation = self.state.apply(command).incarnation
         gateway = Gateway(
             process_id, incarnation, rate, holder.LeaseHolder(DRIFT_MARGIN)
         )
-        self.lives.append(gateway)
+        self.incarnations.append(gateway)
         self.gateways_by_id[process_id] = gateway
-        self.step_leader(book.Tick())
+        self.step_leader(lease_table.Tick())
         self.step_gateway(gateway, holder.Registered(incarnation))
         return gateway
 
@@ -112,7 +117,7 @@
         ):
             answer = self.state.apply(command)
             assert isinstance(answer, commands.Changed), answer
-        self.step_leader(book.Tick())
+        self.step_leader(lease_table.Tick())
         return version
 
     def renew(self, process_id: str) -> None:
@@ -120,7 +125,7 @@
 
     def advance(self, seconds: float) -> None:
         self.now += seconds
-        self.step_leader(book.Tick())
+        self.step_leader(lease_table.Tick())
 
     def deliver(self, message: Message) -> None:
         self.in_flight.remove(message)
@@ -132,13 +137,13 @@
             if isinstance(body, messages.Unregistered):
                 return
             is_grant = isinstance(body, messages.Grant)
-            kind = holder.GrantHeard if is_grant else holder.PushHeard
+            kind = holder.GrantReceived if is_grant else holder.PushReceived
             bundle = holder.read(body.version, body.content)
             self.step_gateway(message.receiver, kind(LEADER_ADDRESS, body, bundle))
         elif message.receiver.leads:
-            # A leader that has lost its place drops what it hears.
+            # A former leader drops all messages.
             self.step_leader(
-                book.RenewalHeard(
+                lease_table.RenewalReceived(
                     message.sender.process_id,
                     message.sender.process_id,
                     message.sender.incarnation,
@@ -165,7 +170,7 @@
             self.renew(process_id)
         self.exchange(*process_ids)
 
-    # What is seen.
+    # Observations
 
     def acts_on(self, gateway: Gateway) -> int | None:
         """Return the version that the gateway acts on now; None: it refuses work."""
@@ -175,7 +180,7 @@
     def in_force(self) -> int:
         return records.read(self.state.state()).in_force
 
-    # How it is carried out.
+    # Implementation
 
     def step_gateway(self, gateway: Gateway, event: object) -> None:
         trace.note(self.now, gateway.process_id, gateway.incarnation, event)
@@ -190,18 +195,18 @@
         leader = self.leader
         now = self.now * leader.rate
         state = self.state.state()
-        changed = grants.find_change(state, leader.book, self.gateway_options)
+        changed = grants.find_change(state, leader.lease_table, self.gateway_options)
         for each in (changed, event):
             if each is None:
                 continue
             trace.note(self.now, each)
-            for effect in leader.book.step(now, each):
+            for effect in leader.lease_table.step(now, each):
                 self.carry_out(effect)
 
     def carry_out(self, effect: Any) -> None:
-        if isinstance(effect, book.Propose):
+        if isinstance(effect, lease_table.Propose):
             self.state.apply(effect.command)
-            self.step_leader(book.ProposalEnded(effect.command))
+            self.step_leader(lease_table.ProposalEnded(effect.command))
             return
         gateway = self.gateways_by_id.get(effect.address)
         if gateway is not None:
--- a/tests/fakes/trace.py
+++ b/tests/fakes/trace.py
@@ -1,4 +1,4 @@
-"""A digest of what schedules did, which tells whether two plays were the same."""
+"""A digest of the events of a schedule, to compare two runs of it."""
 
 import contextlib
 import hashlib
@@ -6,14 +6,14 @@
 
 
 class Trace:
-    """What was noted, in its order."""
+    """The values that were noted, in order, as a digest."""
 
     def __init__(self) -> None:
         self.n_notes = 0
         self._hash = hashlib.blake2b(digest_size=16)
 
     def note(self, *values: object) -> None:
-        """Note values whose `repr` says all of them."""
+        """Note values whose `repr` describes them completely."""
         self.n_notes += 1
         self._hash.update(f"{values!r}\n".encode())
 
@@ -25,14 +25,14 @@
 
 
 def note(*values: object) -> None:
-    """Note values in the traces that are being recorded, if there are any."""
+    """Note values in all traces that are being recorded."""
     for trace in _open:
         trace.note(*values)
 
 
 @contextlib.contextmanager
 def recorded() -> Iterator[Trace]:
-    """Record what is noted within."""
+    """Record the values that are noted in the block."""
     trace = Trace()
     _open.append(trace)
     try:
--- a/tests/fakes/usage_world.py
+++ b/tests/fakes/usage_world.py
@@ -1,4 +1,4 @@
-"""A control group, gateways and the receiver of reports, with a clock of their own."""
+"""A control group, gateways and the receiver of reports, with a manual clock."""
 
 import contextlib
 
@@ -12,13 +12,13 @@
 from tests.fakes import receiver
 
 OPTIONS = model.UsageOptions(5.0, 10.0, "outside")
-# The hub's clock says 1,000 when the time of day is this; a window's first moment.
+# The time of day, in seconds, when the hub's clock shows 1,000; a window begins then.
 UNIX = 1_700_000_000.0
 FIRST = model.window_at(UNIX, 5.0)
 
 
 class Group:
-    """A control group of several replicas with one state, of which one leads."""
+    """A control group of several replicas that share one state; one of them leads."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -26,7 +26,7 @@
         self.term = 0
         self.leader = None
         self.index = 0
-        # The next commands are applied, but nobody is told.
+        # Whether commands are applied but their answers lost.
         self.loses_answers = False
 
     def elect(self, replica):
@@ -47,7 +47,7 @@
 
 @attrs.define(eq=False)
 class Replica:
-    """One of them; a frozen one does not know that it was deposed until it looks."""
+    """One replica; it learns that it was deposed when it checks its leadership."""
 
     group: Group
     held: interfaces.Leadership | None = None
@@ -78,12 +78,12 @@
             for n, each in enumerate(self.replicas)
         ]
         self.meters = {f"g{n}": meter.Meter(5.0) for n in range(2)}
-        # What upstreams began, by window and account.
+        # Numbers of requests that upstreams began, by window and account.
         self.truth = {}
         self.lead(0)
 
     def make_reporter(self, n, replica, is_fenced):
-        made = reporter.UsageReporter(
+        reporter_ = reporter.UsageReporter(
             OPTIONS,
             replica,
             receiver.PlainReports(),
@@ -91,8 +91,8 @@
             tenure.Tenure(replica, 3.0, is_fenced),
             self.receiver.call,
         )
-        made.unix_time = lambda: UNIX + self.clock.now - 1000.0
-        return made
+        reporter_.unix_time = lambda: UNIX + self.clock.now - 1000.0
+        return reporter_
 
     def lead(self, n):
         self.group.elect(self.replicas[n])
@@ -104,9 +104,9 @@
             if replica.leadership() is not None
         ]
         for each in leading:
-            told = self.meters[address].telling()
-            each.heard(address, 0.0, told)
-            self.meters[address].learn(
+            snapshot = self.meters[address].snapshot()
+            each.handle_renewal(address, 0.0, snapshot)
+            self.meters[address].update(
                 each.unix_time(), self.clock.now, self.clock.now, each.closed_before()
             )
 
@@ -133,6 +133,6 @@
 @contextlib.contextmanager
 def world(is_fenced=True):
     with helpers.manual_clock() as clock:
-        made = World(clock, is_fenced)
-        made.run(4.0)
-        yield made
+        world_ = World(clock, is_fenced)
+        world_.run(4.0)
+        yield world_
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small tools shared by the tests: free ports and a clock that stands still."""
+"""Small tools shared by the tests: free ports, a manual clock and ordered tasks."""
 
 import contextlib
 import itertools
@@ -14,16 +14,16 @@
 
 
 def free_port() -> int:
-    """Return a TCP port of the loopback address that is free now.
+    """Return a TCP port that is currently free on the loopback address.
 
-    Not one that outgoing connections get: between this and the start of a test's
-    process, any connection on the machine could take it.
+    It is outside the range for outgoing connections, any of which could otherwise take
+    the port before the test's process listens on it.
     """
     return loopback.free_ports(1)[0]
 
 
 class ManualClock:
-    """A clock that moves only when told to."""
+    """A clock that moves only by `advance`."""
 
     def __init__(self, now: float = 1000.0) -> None:
         self.now = now
@@ -48,7 +48,7 @@
 
 
 class _OrderedSet(dict[Any, None]):
-    """A set in the order in which its elements came, as far as eventlet uses it."""
+    """A set that keeps insertion order, with the methods that eventlet uses."""
 
     def add(self, each: Any) -> None:
         self[each] = None
@@ -59,11 +59,11 @@
 
 @contextlib.contextmanager
 def tasks_in_order() -> Iterator[None]:
-    """Run tasks that are due at the same moment in the order they became so.
+    """Run tasks that are due at the same moment in the order of their timers' creation.
 
-    The hub takes them, the waiters of an event and the sockets that are ready by their
-    address in memory, which differs in each process; while a clock stands still, nearly
-    all are due at the same moment.
+    The hub would order such tasks, the waiters of an event and the ready sockets by
+    their addresses in memory, which differ in each process. With a manual clock, nearly
+    all tasks are due at the same moment.
     """
     hub = hubs.get_hub()
     numbers = itertools.count()
--- a/tests/schedules_support.py
+++ b/tests/schedules_support.py
@@ -1,4 +1,4 @@
-"""Settings of the tests that draw schedules: the same ones each time."""
+"""Settings of the tests that draw random schedules: the same ones in each run."""
 
 import contextlib
 import os
@@ -12,7 +12,7 @@
 def by_seeds(n_schedules: int) -> hypothesis.settings:
     """Return the settings of a test that draws its schedules from seeds.
 
-    One that fails is not shrunk: a seed says nothing of the schedules near it.
+    A failing seed is not shrunk, as a smaller seed does not give a simpler schedule.
     """
     return hypothesis.settings(
         max_examples=n_schedules,
@@ -25,7 +25,7 @@
 
 
 def of_machine(n_schedules: int, n_steps: int) -> hypothesis.settings:
-    """Return the settings of a state machine whose rules are the steps."""
+    """Return the settings of a state machine whose rules are a schedule's steps."""
     return hypothesis.settings(
         max_examples=n_schedules,
         stateful_step_count=n_steps,
@@ -37,9 +37,9 @@
 
 @contextlib.contextmanager
 def played_by(module: str, seed: int | None = None) -> Iterator[None]:
-    """Say with a failure of a schedule which command plays it again.
+    """Add the command that repeats a schedule to an error raised in the block.
 
-    Without a seed all the module's schedules are played, as many as in this run.
+    Without a seed the command runs all schedules of the module, as many as this run.
     """
     command = f"misc/play_schedule {module}"
     n_schedules = os.environ.get(N_SCHEDULES_VARIABLE)
--- a/tests/test_bundles_check.py
+++ b/tests/test_bundles_check.py
@@ -1,4 +1,4 @@
-"""A bundle's text: all findings at once, each with its place."""
+"""A bundle's text: all findings at once, each with its position."""
 
 import unittest
 
@@ -49,7 +49,7 @@
 
 
 class TestCheck(unittest.TestCase):
-    def test_valid_bundle_is_read_whole(self) -> None:
+    def test_valid_bundle_is_read_completely(self) -> None:
         bundle = check.check(VALID, "b.yaml").unwrap()
         self.assertEqual((bundle.version, bundle.parent), (2, 1))
         self.assertEqual(bundle.applications["schedule"].timeout_seconds, 5.0)
@@ -69,8 +69,8 @@
     def test_all_faults_are_reported_together(self) -> None:
         """The operator sends a bundle with several faults.
 
-        All are reported in one answer, in the order of their places, so that it
-        doesn't take one submission for each.
+        One answer reports them all, in the order of their positions, so that the
+        operator does not need one submission per fault.
         """
         content = VALID.replace("parent: 1", "parent: 9").replace("planner", "x", 1)
         content += "extra: 1\n"
--- a/tests/test_bundles_commands.py
+++ b/tests/test_bundles_commands.py
@@ -1,4 +1,4 @@
-"""Bundles in the replicated state: operators race, answers are lost, changes resent."""
+"""Bundles in the replicated state: racing operators, lost answers, resent changes."""
 
 import itertools
 import unittest
@@ -39,7 +39,7 @@
     for command in changes(version, parent, f"c{version:06}"):
         answer = state.apply(command)
         assert isinstance(answer, commands.Changed), answer
-    state.apply(commands.NoteInForce(version))
+    state.apply(commands.MarkInForce(version))
 
 
 def section(state: direct_state.DirectState) -> records.Section:
@@ -57,7 +57,7 @@
             states.append(section(self.state).records_by_version[1].state)
         self.assertEqual(states, ["draft", "signed-off", "rolling"])
         self.assertEqual(section(self.state).in_force, 0)
-        self.state.apply(commands.NoteInForce(1))
+        self.state.apply(commands.MarkInForce(1))
         self.assertEqual(section(self.state).in_force, 1)
         self.assertEqual(section(self.state).records_by_version[1].state, "in-force")
 
@@ -89,8 +89,8 @@
     def test_draft_made_from_an_overtaken_parent_is_not_rolled(self) -> None:
         """Two operators make bundles 2 and 3 from bundle 1; 2 is rolled first.
 
-        Rolling 3 would undo what 2 brought, without anyone having decided so. Its
-        operator is told that 2 is newest.
+        Rolling 3 would undo the changes of 2, which nobody decided. Its operator gets
+        the answer that 2 is newest.
         """
         bring_in_force(self.state, 1, 0)
         for command in changes(3, 1, "late")[:2]:
@@ -100,19 +100,19 @@
         self.assertEqual(answer.reason, reasons.Reason.BUNDLE_STALE)
         self.assertEqual(records.newest(section(self.state)), 2)
 
-    def test_later_roll_takes_over_and_the_earlier_is_never_in_force(self) -> None:
-        """Bundle 2 is still rolling, held up by a cut, when 3 is rolled on top.
+    def test_later_roll_replaces_the_earlier_which_is_never_in_force(self) -> None:
+        """Bundle 2 is still rolling, delayed by a partition, when 3 is rolled.
 
-        Gateways go on to 3. A note of the leader that 2 is in force, held up on its
-        way, comes last: it must not take the deployment back from 3.
+        Gateways continue to 3. The leader's command that 2 is in force is delayed and
+        applied last; it must not revert the deployment from 3.
         """
         bring_in_force(self.state, 1, 0)
         for command in [*changes(2, 1, "b"), *changes(3, 2, "c")]:
             self.assertIsInstance(self.state.apply(command), commands.Changed)
-        self.state.apply(commands.NoteInForce(2))
+        self.state.apply(commands.MarkInForce(2))
         self.assertEqual(section(self.state).in_force, 1)
-        self.state.apply(commands.NoteInForce(3))
-        self.assertEqual(self.state.apply(commands.NoteInForce(2)).version, 3)
+        self.state.apply(commands.MarkInForce(3))
+        self.assertEqual(self.state.apply(commands.MarkInForce(2)).version, 3)
         self.assertEqual(section(self.state).records_by_version[2].state, "superseded")
 
     def test_drafts_on_one_parent_are_bounded(self) -> None:
@@ -123,15 +123,15 @@
         self.assertEqual(answer.reason, reasons.Reason.BUNDLE_TOO_MANY_DRAFTS)
 
     @unittest.mock.patch.object(records, "RECORDS_KEPT", 200)
-    def test_state_stays_flat_under_many_changes(self) -> None:
+    def test_state_size_is_bounded_under_many_changes(self) -> None:
         """After weeks of changes, the state is no larger than after some days."""
         sizes = []
         for version in range(1, 1200):
             bring_in_force(self.state, version, version - 1)
-            # From there on all version numbers kept take the same number of bytes.
+            # From there on, all version numbers kept have the same encoded size.
             if version > records.RECORDS_KEPT + 300 and version % 100 == 0:
                 sizes.append(len(codec.encode(section(self.state))))
-        # Beside what is kept: the one in force and the newest.
+        # In addition to those, the one in force and the newest are kept.
         kept = section(self.state).records_by_version
         self.assertLessEqual(len(kept), records.RECORDS_KEPT + 2)
         n_contents = sum(bool(record.content) for record in kept.values())
@@ -149,16 +149,15 @@
         self.assertIsNone(self.state.query(queries.GetBundle(7)).unwrap().record)
 
 
-# What may befall one change between an operator and the state group: it arrives and
-# is answered; its answer is lost and it is sent again; a copy arrives after everything
-# else. A change that is lost on its way and sent again is one that arrives later, which
-# is another of the orders.
+# Faults of one change between an operator and the state group: none; its answer is lost
+# and it is sent again; a duplicate arrives after everything else. A change that is lost
+# itself and sent again just arrives later, which another of the orders covers.
 FAULTS = ("none", "answer-lost", "late-copy")
 
 
 @attrs.define
 class Operator:
-    """An operator who sends each change until it is answered, then the next."""
+    """An operator who sends each change until it is answered, and then the next."""
 
     name: str
     changes: list[Any]
@@ -169,10 +168,10 @@
     def test_every_interleaving_and_fault(self) -> None:
         """Two operators bring different contents under version 2, made from 1.
 
-        Their changes meet in every order, and at every message boundary an answer is
-        lost and its change sent again, or a copy comes late. Whoever is first wins;
-        the other is told the winner's digest and name; a change that is sent again
-        gets its first answer; the version in force never falls.
+        Their changes interleave in every order, and at every step an answer is lost and
+        its change sent again, or a duplicate arrives late. The first submission wins;
+        the other operator gets the winner's digest and name; a change that is sent
+        again gets its first answer; the version in force never falls.
         """
         n_schedules = 0
         for order in sorted(set(itertools.permutations("aaaeee"))):
@@ -229,10 +228,10 @@
         )
     )
     def test_any_order_of_changes(self, steps: list[Any]) -> None:
-        """Any operators send anything, in any order, any number of times.
+        """Operators send any changes, in any order, any number of times.
 
-        The versions in force and newest never fall, a number keeps its content, and
-        a change that was accepted once gets the same answer each time after.
+        The version in force and the newest version never fall, a version number keeps
+        its content, and an accepted change gets the same answer each time it is sent.
         """
         state = direct_state.DirectState()
         accepted: dict[Any, Any] = {}
@@ -243,7 +242,7 @@
                 "submit": submit(version, parent, content),
                 "sign": commands.SignOffBundle(version, f"digest-{content}", "o"),
                 "roll": commands.RollBundle(version, f"digest-{content}", "o"),
-                "note": commands.NoteInForce(version),
+                "note": commands.MarkInForce(version),
             }[kind]
             answer = state.apply(command)
             after = (section(state).in_force, records.newest(section(state)))
@@ -258,7 +257,7 @@
 
 class TestRestore(unittest.TestCase):
     @tools.params(("older copy", 2, 3), ("copy of today", 3, 3), ("newer copy", 4, 4))
-    def test_restore_takes_no_accepted_bundle_back(
+    def test_restore_reverts_no_accepted_bundle(
         self, name: str, version_of_copy: int, in_force: int
     ) -> None:
         """A copy of the state is restored to a group that has version 3 in force."""
@@ -271,10 +270,10 @@
         self.assertEqual(copy.in_force, in_force, name)
         self.assertEqual(copy.records_by_version[in_force].state, "in-force")
 
-    def test_number_that_gateways_have_met_is_not_given_again(self) -> None:
+    def test_version_on_which_gateways_acted_is_refused(self) -> None:
         state = direct_state.DirectState()
         bring_in_force(state, 1, 0)
-        state.apply(commands.NoteSeen(7))
+        state.apply(commands.RecordSeenVersion(7))
         refused = state.apply(submit(7, 1))
         self.assertEqual(refused.reason, reasons.Reason.BUNDLE_STALE)
         self.assertIsInstance(state.apply(submit(8, 1)), commands.Changed)
--- a/tests/test_bundles_http.py
+++ b/tests/test_bundles_http.py
@@ -1,4 +1,4 @@
-"""Bundles through the operators' interface, the tasks and their sockets."""
+"""Bundles through the operators' HTTP interface, the lease tasks and their sockets."""
 
 import contextlib
 import io
@@ -12,11 +12,11 @@
 
 from bilberrydrum import options, reasons, transport
 from bilberrydrum.bundles import (
-    book,
     check,
     commands,
     grants,
     lease,
+    lease_table,
     messages,
     records,
 )
@@ -42,7 +42,7 @@
 
 
 class Site(unittest.TestCase):
-    """A leader and a gateway on loopback sockets, beside a state group of one."""
+    """A leader and a gateway on loopback sockets, with a state group of one."""
 
     def setUp(self) -> None:
         self.state = direct_state.DirectState()
@@ -180,10 +180,10 @@
         self.assertEqual(self.call("POST", "/v1/bundles", sent, unnamed)[0], 400)
         self.assertEqual(self.call("POST", "/v1/bundles", sent, {})[0], 401)
 
-    def test_change_without_an_answer_is_not_called_not_run(self) -> None:
-        """The state group takes the submission, and its answer is lost.
+    def test_change_without_an_answer_is_not_reported_as_not_run(self) -> None:
+        """The state group applies the submission, and its answer is lost.
 
-        The operator is told that it is unknown, sends it again, and gets the answer.
+        The operator gets the outcome "unknown", submits again, and gets the answer.
         """
         sent = {"content": text_of(1)}
         self.state.n_answers_to_lose = 1
@@ -197,48 +197,49 @@
     def test_new_leader_waits_for_a_silent_gateway(self, name: str, term: int) -> None:
         """A gateway is cut off, and the leader changes before a bundle is rolled.
 
-        The leader begins a new book, which knows of no lease. It must not take the
-        time it became leader for the end of what was granted before: the one that
-        was cut off for a moment led and granted long after that.
+        The leader creates a new lease table, which contains no leases. It must not
+        assume that all earlier leases were granted before it became leader: a leader
+        that was cut off for a moment, and leads in the same term, granted later ones.
         """
         self.roll(1)
         wait_for(lambda: self.in_force() == 1 and self.acts_on(self.gateway) == 1)
-        earlier_book = self.grants._book
-        # Its socket is closed: it hears nothing, and goes on for its lease.
+        earlier_table = self.grants._table
+        # Its socket is closed: it receives nothing, and serves until its lease expires.
         self.gateway._transport.stop()
         if term == self.state.term:
             self.state.leads_since = None
-            self.grants._events.put(book.Tick())
-            wait_for(lambda: self.grants._book is None)
+            self.grants._events.put(lease_table.Tick())
+            wait_for(lambda: self.grants._table is None)
         self.state.term, self.state.leads_since = term, 0.0
-        self.grants._events.put(book.Tick())
-        # What the replica granted before is no measure: another may have led since.
+        self.grants._events.put(lease_table.Tick())
+        # What the replica itself granted is no bound: another one may have led since.
         wait_for(
             lambda: (
-                self.grants._book is not None and self.grants._book is not earlier_book
+                self.grants._table is not None
+                and self.grants._table is not earlier_table
             )
         )
         self.roll(2)
         wait_for(lambda: self.in_force() == 2)
         self.assertEqual(self.acts_on(self.gateway), 0, name)
 
-    def test_stopped_gateway_gives_its_lease_back(self) -> None:
+    def test_stopped_gateway_releases_its_lease(self) -> None:
         self.roll(1)
         wait_for(lambda: self.in_force() == 1)
         wait_for(lambda: self.acts_on(self.gateway) == 1)
         self.gateway.stop()
         self.assertEqual(self.acts_on(self.gateway), 0)
-        kept = self.grants._book
+        kept = self.grants._table
         assert kept is not None
-        life = kept.lives_by_incarnation[1]
-        self.assertTrue(life.until_by_version)
-        wait_for(lambda: not life.until_by_version)
+        gateway = kept.gateways_by_incarnation[1]
+        self.assertTrue(gateway.until_by_version)
+        wait_for(lambda: not gateway.until_by_version)
 
-    def test_fault_in_one_event_does_not_end_the_leases(self) -> None:
-        """One event makes the leader's task fail, and one the gateway's.
+    def test_error_in_one_event_does_not_stop_the_tasks(self) -> None:
+        """One event raises an error in the leader's task, and one in the gateway's.
 
-        Both go on with the next event; otherwise every gateway would refuse work until
-        another replica leads, or this gateway until it is restarted.
+        Both tasks must continue with the next event. Otherwise every gateway would
+        refuse work until another replica leads, or this gateway until it restarts.
         """
         self.roll(1)
         wait_for(lambda: self.acts_on(self.gateway) == 1)
@@ -259,21 +260,22 @@
         wait_for(lambda: self.acts_on(self.gateway) == 2)
         wait_for(lambda: self.gateway.gateways_by_id()["g0"].incarnation == 2)
 
-    def test_process_whose_name_was_taken_does_not_take_it_back(self) -> None:
-        """A host that was replaced under its name comes back and runs beside the new.
+    def test_superseded_process_does_not_register_again(self) -> None:
+        """A host that was replaced under its name runs again alongside the new one.
 
-        A leader drops its messages, but a new leader, which has heard from neither,
-        takes them. The host refuses work for good. Were it to register again, the two
-        would end each other's leases in turn, and every roll would wait for them.
+        The leader drops its messages, but a new leader that has received none from
+        either host accepts them. The old host must refuse work permanently. If it
+        registered again, the two would invalidate each other's leases in turn, and
+        every roll would wait for them.
         """
-        heard_of = self.grants._transport._incarnations_by_sender
+        incarnations_by_sender = self.grants._transport._incarnations_by_sender
 
-        def is_told() -> bool:
-            heard_of.clear()
+        def is_superseded() -> bool:
+            incarnations_by_sender.clear()
             return self.gateway._holder.is_released
 
         self.start_gateway("g0")
-        wait_for(is_told)
+        wait_for(is_superseded)
         self.roll(1)
         wait_for(lambda: self.in_force() == 1)
         eventlet.sleep(0.2)
@@ -282,9 +284,9 @@
         self.assertEqual(registered["g0"].incarnation, 2)
 
     def test_connections_to_processes_that_left_are_closed(self) -> None:
-        """A fleet replaces hosts all day, each with an address of its own.
+        """A fleet replaces hosts all day, and each new host has a new address.
 
-        Sockets to those that are gone would add up until no more can be opened.
+        Sockets to hosts that have left would accumulate until no more can be opened.
         """
         other = self.start_gateway("g1")
         wait_for(lambda: len(self.gateway.gateways_by_id()) == 2)
@@ -296,7 +298,7 @@
         self.assertEqual(known, [True, True])
         other.stop()
         self.state.apply(processes.ForgetProcesses((2,)))
-        # A late message of it opens the connection again, to answer.
+        # The answer to a late message of the stopped gateway opens a connection again.
         wait_for(lambda: address not in carriers[1]._dealers_by_address)
         renewal = messages.Renewal(1, 0, 0)
         other._transport.send(self.leader_address, renewal)
@@ -305,19 +307,19 @@
             lambda: not any(address in each._dealers_by_address for each in carriers)
         )
 
-    def test_leader_that_wakes_with_a_grant_in_hand_does_not_send_it(self) -> None:
-        """The leader is stopped after it made a grant, and replaced meanwhile.
+    def test_resumed_leader_does_not_send_a_prepared_grant(self) -> None:
+        """The leader is suspended after it prepared a grant, and replaced meanwhile.
 
-        It asks for its leadership again right before it sends.
+        It must check its leadership again right before it sends.
         """
         self.grants.stop()
-        book_ = self.grants._book
-        assert book_ is not None
+        table = self.grants._table
+        assert table is not None
         sent: list[object] = []
         self.grants._transport.send = lambda *message: sent.append(message)  # type: ignore[method-assign,assignment]
         renewal = messages.Renewal(1, 0, 0)
-        event = book.RenewalHeard("g0", "address", 1, renewal)
+        event = lease_table.RenewalReceived("g0", "address", 1, renewal)
         for leads_since, n_sent in ((None, 0), (0.0, 1)):
             self.state.leads_since = leads_since
-            self.grants._step(book_, event)
+            self.grants._step(table, event)
             self.assertEqual(len(sent), n_sent)
--- a/tests/test_bundles_lease.py
+++ b/tests/test_bundles_lease.py
@@ -7,7 +7,7 @@
 from nose2 import tools
 
 from bilberrydrum import reasons
-from bilberrydrum.bundles import book, commands, holder, messages, model
+from bilberrydrum.bundles import commands, holder, lease_table, messages, model
 from tests.fakes import lease_world
 
 
@@ -20,19 +20,19 @@
         world.exchange("g0")
         self.assertEqual(world.in_force(), 0)
         self.assertEqual(
-            world.leader.book.status(world.now),
+            world.leader.lease_table.status(world.now),
             messages.RollStatus(1, 1, 2, ("g1",)),
         )
         world.exchange("g1")
         self.assertEqual(world.in_force(), 1)
-        for gateway in world.lives:
+        for gateway in world.incarnations:
             self.assertEqual(world.acts_on(gateway), 1)
 
-    def test_cut_off_gateway_lapses_before_the_roll_is_accepted(self) -> None:
+    def test_cut_off_gateways_lease_expires_before_the_roll_is_in_force(self) -> None:
         """A gateway is cut off; an operator rolls a bundle with the policy "refuse".
 
-        Callers at the cut-off gateway are refused once its lease has run out; only
-        then is the roll reported in force. Its clock is slow by nearly the margin.
+        The gateway refuses callers as soon as its lease has expired, and only then is
+        the roll reported in force. Its clock is slow by nearly the drift margin.
         """
         world = lease_world.World({"g0": 1.0, "g1": 0.96})
         world.roll()
@@ -47,11 +47,11 @@
         self.assertIsNone(world.acts_on(world.gateways_by_id["g1"]))
         self.assertEqual(world.acts_on(world.gateways_by_id["g0"]), 2)
 
-    def test_gateway_back_after_600_changes_gets_the_newest_first(self) -> None:
-        """A gateway is cut off, 600 bundles come and go, and the cut heals.
+    def test_reconnected_gateway_gets_the_newest_of_600_changes_first(self) -> None:
+        """A gateway is cut off, 600 bundles are rolled, and the partition heals.
 
-        Its first grant brings the newest bundle; it never acts on one in between, nor
-        on the old one, not even when an old push turns up late.
+        Its first grant contains the newest bundle. It must never act on one in between
+        nor on the old one, not even when an old push arrives late.
         """
         world = lease_world.World()
         world.roll()
@@ -67,15 +67,15 @@
         world.in_flight.clear()
         self.assertIsNone(world.acts_on(gateway))
         world.renew_all("g1")
-        world.step_gateway(gateway, holder.PushHeard("old leader", old_push))
+        world.step_gateway(gateway, holder.PushReceived("old leader", old_push))
         self.assertEqual(world.acts_on(gateway), 601)
         self.assertEqual(gateway.versions, [1, 601])
 
     def test_restarted_gateway_starts_with_the_newest(self) -> None:
-        """A gateway restarts while bundle 2 rolls; its earlier life may linger.
+        """A gateway restarts while bundle 2 rolls; its earlier incarnation still runs.
 
-        The new life gets bundle 2 with its first lease. The roll waits for the lease
-        of the earlier life, which may still answer callers from the old bundle.
+        The new incarnation gets bundle 2 with its first lease. The roll must wait for
+        the lease of the earlier one, which may still serve under the old bundle.
         """
         world = lease_world.World()
         world.roll()
@@ -92,11 +92,12 @@
         self.assertIsNone(world.acts_on(earlier))
         self.assertEqual(world.in_force(), 2)
 
-    def test_frozen_gateway_checks_its_lease_when_it_wakes(self) -> None:
-        """A gateway is frozen past its lease, with a grant unread in its socket.
+    def test_suspended_gateway_checks_its_lease_when_it_resumes(self) -> None:
+        """A gateway is suspended past its lease, with an unread grant in its socket.
 
-        It wakes in the middle of a request: the check made then refuses it. The
-        unread grant counts from when its renewal was sent, so it revives nothing.
+        It resumes in the middle of a request, which the lease check must refuse. The
+        lease of the unread grant counts from when its renewal was sent, so it has
+        expired as well.
         """
         world = lease_world.World()
         world.roll()
@@ -113,11 +114,11 @@
         world.deliver(unread)
         self.assertIsNone(world.acts_on(gateway))
 
-    def test_new_leader_waits_out_its_predecessors_leases(self) -> None:
-        """The leader is lost in the middle of a roll that one gateway hasn't heard of.
+    def test_new_leader_waits_for_its_predecessors_leases(self) -> None:
+        """The leader is lost during a roll of which one gateway has received nothing.
 
-        The new leader knows nothing of the leases granted. It must not take the
-        silent gateway for lapsed until a whole lease has passed.
+        The new leader does not know which leases were granted. It must not assume that
+        the lease of the silent gateway has expired until a full lease has passed.
         """
         world = lease_world.World()
         world.roll()
@@ -134,11 +135,11 @@
         self.assertIsNone(world.acts_on(world.gateways_by_id["g1"]))
         self.assertEqual(world.in_force(), 2)
 
-    def test_lease_kept_over_a_push_is_waited_out_by_the_next_roll(self) -> None:
-        """A gateway takes bundle 2 by push, on the long lease it had for bundle 1.
+    def test_next_roll_waits_for_a_lease_kept_over_a_push(self) -> None:
+        """A gateway adopts bundle 2 from a push, under its long lease for bundle 1.
 
-        Its confirmation arrives, the grant for 2 doesn't, and it is cut off. It acts
-        on 2 for the rest of the long lease; bundle 3 must not be in force before.
+        Its confirmation arrives, the grant for 2 does not, and it is cut off. It acts
+        on 2 for the rest of the long lease; bundle 3 must not be in force before that.
         """
         world = lease_world.World({"g0": 1.0})
         world.roll(model.CUT_HOLD)
@@ -161,10 +162,11 @@
     def test_confirmation_of_an_older_version_keeps_the_predecessors_lease(
         self,
     ) -> None:
-        """A new leader rolls 3; a gateway's renewal with bundle 2 was under way.
+        """A new leader rolls 3 while a gateway's renewal with bundle 2 is in flight.
 
-        Then the gateway is cut off with the lease the predecessor granted for 2.
-        Hearing of 2 says nothing of that lease's end: 3 must wait for it.
+        The renewal arrives, and the gateway is cut off with the lease that the
+        predecessor granted for 2. The renewal does not say when that lease expires, so
+        3 must still wait for it.
         """
         world = lease_world.World({"g0": 1.0})
         for _ in range(2):
@@ -185,13 +187,15 @@
         world.roll()
         world.renew_all("g0", "g1")
         world.step_gateway(world.gateways_by_id["g1"], holder.Released())
-        world.step_leader(book.ReleaseHeard(world.gateways_by_id["g1"].incarnation))
+        world.step_leader(
+            lease_table.ReleaseReceived(world.gateways_by_id["g1"].incarnation)
+        )
         world.roll()
         world.exchange("g0")
         self.assertIsNone(world.acts_on(world.gateways_by_id["g1"]))
         self.assertEqual(world.in_force(), 2)
 
-    def test_later_roll_goes_on_from_a_roll_held_up(self) -> None:
+    def test_later_roll_replaces_a_delayed_roll(self) -> None:
         world = lease_world.World()
         world.roll()
         world.renew_all("g0", "g1")
@@ -202,11 +206,11 @@
         self.assertEqual(world.in_force(), 3)
         self.assertNotIn(2, world.gateways_by_id["g1"].versions[-1:])
 
-    def test_gateway_ahead_of_a_restored_state_is_not_taken_back(self) -> None:
-        """All replicas are lost; the state comes back from a copy that ends at 1.
+    def test_gateway_ahead_of_a_restored_state_is_not_reverted(self) -> None:
+        """All replicas are lost; the state is restored from a copy that ends at 1.
 
-        Gateways act on 2. They get no lease for 1 and refuse work until a bundle
-        above 2 is rolled, and no other content can be submitted as 2.
+        Gateways act on 2. They must get no lease for 1 and refuse work until a bundle
+        above 2 is rolled, and no other content may be submitted as 2.
         """
         world = lease_world.World()
         world.roll()
@@ -217,17 +221,17 @@
         world.elect()
         world.renew_all("g0", "g1")
         world.advance(lease_world.LEASE)
-        for gateway in world.lives:
+        for gateway in world.incarnations:
             self.assertIsNone(world.acts_on(gateway))
         refused = world.state.apply(
             commands.SubmitBundle(2, 1, "d", "ana", model.CUT_REFUSE, "other")
         )
         self.assertEqual(refused.reason, reasons.Reason.BUNDLE_STALE)
 
-    def test_earlier_life_of_a_process_gets_no_lease(self) -> None:
-        """Two processes run under one name: the earlier one was taken for dead.
+    def test_earlier_incarnation_gets_no_lease(self) -> None:
+        """Two processes run under one name, as the earlier one was considered dead.
 
-        Each lease of the earlier one would hold up every roll to come.
+        Each lease of the earlier one would delay all later rolls.
         """
         world = lease_world.World({"g0": 1.0})
         world.renew_all("g0")
@@ -239,13 +243,13 @@
         answers = [message.body for message in world.in_flight]
         self.assertEqual(answers, [messages.Unregistered(1, is_superseded=True)])
 
-    def test_silent_gateway_is_forgotten_and_told_to_register(self) -> None:
+    def test_silent_gateway_is_dropped_and_must_register(self) -> None:
         world = lease_world.World()
         world.renew_all("g0", "g1")
-        world.advance(book.FORGET_SECONDS - 1)
+        world.advance(lease_table.FORGET_SECONDS - 1)
         world.renew_all("g0")
         world.advance(2)
-        self.assertEqual(list(world.leader.book.lives_by_incarnation), [1])
+        self.assertEqual(list(world.leader.lease_table.gateways_by_incarnation), [1])
         world.renew("g1")
         world.deliver(world.in_flight[-1])
         self.assertEqual(world.in_flight[-1].body, messages.Unregistered(2))
@@ -253,13 +257,14 @@
 
 class TestCutPolicy(unittest.TestCase):
     @tools.params((model.CUT_REFUSE, lease_world.LEASE), (model.CUT_HOLD, 60.0))
-    def test_cut_off_gateway_serves_for_as_long_as_the_bundle_says(
+    def test_cut_off_gateway_serves_for_as_long_as_the_policy_allows(
         self, policy: str, seconds: float
     ) -> None:
-        """A gateway is cut off under a bundle that says what shall give way.
+        """A gateway is cut off under a bundle with either partition policy.
 
-        "refuse": it refuses callers after the short lease, and a roll goes on. "hold":
-        it serves on under the old bundle, and the roll isn't accepted meanwhile.
+        "refuse": it refuses callers after the short lease, and the roll completes.
+        "hold": it serves under the old bundle for the long lease, and the roll is not
+        in force until that lease has expired.
         """
         world = lease_world.World()
         world.roll(policy)
@@ -284,11 +289,12 @@
         world.renew_all("g1")
         self.assertEqual(world.in_force(), 2)
 
-    def test_new_leader_waits_out_a_hold_lease(self) -> None:
-        """The bundle in force says "hold", the rolling one "refuse"; the leader dies.
+    def test_new_leader_waits_for_a_hold_lease(self) -> None:
+        """The leader fails; the bundle in force says "hold", the rolling one "refuse".
 
-        A silent gateway may hold the long lease. Waiting only for the rolling
-        bundle's short one would accept the roll while it still serves the old.
+        A silent gateway may have the long lease. If the new leader waited only for the
+        short lease of the rolling bundle, the roll would be reported in force while the
+        gateway still serves under the old bundle.
         """
         world = lease_world.World()
         world.roll(model.CUT_HOLD)
@@ -317,7 +323,7 @@
         self.holder = holder.LeaseHolder(0.05)
         self.holder.step(100.0, holder.Registered(7))
 
-    def grant(self, **fields: Any) -> holder.GrantHeard:
+    def grant(self, **fields: Any) -> holder.GrantReceived:
         known: dict[str, Any] = {
             "sequence": 1,
             "incarnation": 7,
@@ -327,15 +333,20 @@
         }
         grant = messages.Grant(**{**known, **fields})
         bundle = holder.read(grant.version, grant.content)
-        return holder.GrantHeard("leader", grant, bundle)
+        return holder.GrantReceived("leader", grant, bundle)
 
     @tools.params(
         ("before the first grant", None, 100.0, "BUNDLE_LEASE_EXPIRED"),
-        ("nothing rolled yet", {"version": 0, "content": None}, 101.0, "NO_BUNDLE"),
+        ("no bundle rolled yet", {"version": 0, "content": None}, 101.0, "NO_BUNDLE"),
         ("held", {}, 109.4, ""),
         ("counted from sending, less the margin", {}, 109.5, "BUNDLE_LEASE_EXPIRED"),
-        ("of an earlier life", {"incarnation": 6}, 101.0, "BUNDLE_LEASE_EXPIRED"),
-        ("of no renewal", {"sequence": 9}, 101.0, "BUNDLE_LEASE_EXPIRED"),
+        (
+            "of an earlier incarnation",
+            {"incarnation": 6},
+            101.0,
+            "BUNDLE_LEASE_EXPIRED",
+        ),
+        ("of an unknown renewal", {"sequence": 9}, 101.0, "BUNDLE_LEASE_EXPIRED"),
         ("newer, content lost", {"content": None}, 101.0, "BUNDLE_LEASE_EXPIRED"),
         ("unreadable", {"content": "version: x"}, 101.0, "BUNDLE_INVALID"),
     )
--- a/tests/test_bundles_schedules.py
+++ b/tests/test_bundles_schedules.py
@@ -1,4 +1,4 @@
-"""Any schedule of messages, freezes, restarts, rolls and leaders."""
+"""Random schedules of messages, suspensions, restarts, rolls and new leaders."""
 
 from typing import Any
 
@@ -10,10 +10,10 @@
 
 
 class LeaseMachine(stateful.RuleBasedStateMachine):
-    """Any schedule of messages, freezes, restarts, rolls and leaders.
+    """Gateways and leaders under any schedule of messages, time, restarts and rolls.
 
-    Whatever happens, no life of a gateway acts on a bundle older than the one in
-    force, and none goes back to an older version.
+    In every state, no incarnation of a gateway acts on a bundle older than the one in
+    force, and none reverts to an older version.
     """
 
     def __init__(self) -> None:
@@ -60,13 +60,13 @@
         gateway=strategies.sampled_from(("g0", "g1")),
         rate=strategies.sampled_from((0.96, 1.0)),
     )
-    @stateful.precondition(lambda self: len(self.world.lives) < 6)
+    @stateful.precondition(lambda self: len(self.world.incarnations) < 6)
     def restart(self, gateway: str, rate: float) -> None:
         self.world.start_gateway(gateway, rate)
 
     @stateful.invariant()
     def nothing_older_than_in_force_is_acted_on(self) -> None:
-        for gateway in self.world.lives:
+        for gateway in self.world.incarnations:
             version = self.world.acts_on(gateway)
             if version is not None:
                 assert version >= self.world.in_force(), (
--- a/tests/test_cli_process.py
+++ b/tests/test_cli_process.py
@@ -41,7 +41,7 @@
         if self.n_looks == 1:
             return result.Ok(messages.RollStatus(version, 1, 2, ["gw-2"]))
         if version:
-            self.state.apply(commands.NoteInForce(version))
+            self.state.apply(commands.MarkInForce(version))
         return result.Ok(messages.RollStatus(version or 1, 2, 2, []))
 
 
--- a/tests/test_schedules_repeat.py
+++ b/tests/test_schedules_repeat.py
@@ -1,4 +1,4 @@
-"""Random schedules, played twice."""
+"""Random schedules that are run twice must do the same."""
 
 import contextlib
 import json
@@ -18,9 +18,9 @@
 
 @contextlib.contextmanager
 def playing(hash_seed, arguments):
-    """Play in a process of its own, whose strings have hashes of their own."""
+    """Run `misc/play_schedule` in a process with the given hash seed for strings."""
     environment = os.environ | {"PYTHONHASHSEED": str(hash_seed)}
-    # Longer runs of the schedules need not be longer here.
+    # If the variable sets a higher number of schedules, it does not apply here.
     environment.pop(schedules_support.N_SCHEDULES_VARIABLE, None)
     process = subprocess.Popen(
         [sys.executable, ROOT / "misc" / "play_schedule", *arguments],
@@ -52,10 +52,10 @@
         ("tests.test_simulation",),
     )
     def test_same_seed_same_trace(self, *arguments):
-        """A schedule fails in one run, and in the next the same seed passes.
+        """A schedule fails in one run, and the same seed passes in the next.
 
-        Its trace differs from the first steps on: with each process, replicas had
-        other ids, and whatever went by the order of a set of them went otherwise.
+        The traces differed from the first steps on: replicas had different ids in each
+        process, so everything that depended on the order of a set of them differed.
         """
         with playing(1, arguments) as first, playing(2, arguments) as again:
             plays = read_plays(first)
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -1,4 +1,4 @@
-"""Reports of use: what gateways count, and what the control group closes."""
+"""Usage reports: what gateways count, and what the control group closes."""
 
 import unittest
 
@@ -6,9 +6,9 @@
 
 from bilberrydrum.state import machine
 from bilberrydrum.usage import (
-    agreed_time,
+    cluster_clock,
+    collector,
     commands,
-    gathering,
     meter,
     model,
 )
@@ -20,48 +20,50 @@
 UNIX = usage_world.UNIX
 
 
-def telling(
+def snapshot(
     counts=None,
     complete_before=FIRST + 1,
     incarnation="a",
     sequence=1,
     is_last=False,
 ):
-    told = tuple(
+    windows = tuple(
         model.WindowCounts(window, n_by_account)
         for window, n_by_account in (counts or {}).items()
     )
-    return model.Telling(incarnation, sequence, complete_before, told, is_last)
+    return model.CountsSnapshot(
+        incarnation, sequence, complete_before, windows, is_last
+    )
 
 
-class AgreedTime(unittest.TestCase):
-    """Clocks of a third of the hosts jump by two seconds and back."""
+class ClusterClock(unittest.TestCase):
+    """The clocks of a third of the hosts jump by two seconds and back."""
 
     @tools.params(
         ("none", [], None),
         ("alone", [7.0], 7.0),
         ("a third ahead", [7.0, 7.001, 6.999, 7.002, 9.0, 9.0], 7.0015),
         ("a third behind", [7.0, 7.001, 6.999, 5.0, 7.002, 5.0], 6.9995),
-        ("one beyond all sense", [7.0, 7.0, 1e9], 7.0),
+        ("one far off", [7.0, 7.0, 1e9], 7.0),
     )
     def test_median(self, name, offsets, expected):
-        found = agreed_time.median_offset(offsets)
+        found = cluster_clock.median_offset(offsets)
         if expected is None:
             self.assertIsNone(found, name)
         else:
             self.assertAlmostEqual(found, expected, msg=name)
 
     def test_fastest_answer_counts(self):
-        """An answer that was under way for a second may be off by half of it."""
-        time = agreed_time.AgreedTime()
-        time.learn(UNIX + 0.9, 1000.0, 1001.0)
-        time.learn(UNIX + 2.0005, 1002.0, 1002.001)
-        time.learn(UNIX + 3.1, 1003.0, 1004.0)
+        """With a round trip of a second, the estimate may be off by half a second."""
+        time = cluster_clock.ClusterClock()
+        time.add_sample(UNIX + 0.9, 1000.0, 1001.0)
+        time.add_sample(UNIX + 2.0005, 1002.0, 1002.001)
+        time.add_sample(UNIX + 3.1, 1003.0, 1004.0)
         self.assertAlmostEqual(time.unix_time(1010.0), UNIX + 10.0, places=6)
 
 
 class Metered(unittest.TestCase):
-    """What a gateway has counted, and what it says of windows to come."""
+    """What a gateway counts, and which windows it reports as complete."""
 
     def setUp(self):
         held = helpers.manual_clock()
@@ -72,7 +74,7 @@
 
     def learn(self, closed_before=0):
         unix_time = UNIX + self.clock.now - 1000.0
-        self.meter.learn(unix_time, self.clock.now, self.clock.now, closed_before)
+        self.meter.update(unix_time, self.clock.now, self.clock.now, closed_before)
 
     def run_one(self, account="acme", began=True, seconds=0.01):
         with meter.attempt(self.meter, account) as attempt:
@@ -80,8 +82,8 @@
             self.clock.advance(seconds)
 
     def counts(self):
-        told = self.meter.telling().counts
-        return {each.window - FIRST: each.n_by_account for each in told}
+        windows = self.meter.snapshot().counts
+        return {each.window - FIRST: each.n_by_account for each in windows}
 
     def test_by_window_and_account(self):
         self.run_one()
@@ -94,7 +96,7 @@
         self.assertEqual(self.counts(), {0: {"acme": 1, "beta": 1}, 1: {"acme": 1}})
 
     def test_by_the_sending(self):
-        """A request counts where it was sent, however long it takes."""
+        """A request counts in the window in which it was sent, however long it is."""
         self.clock.advance(4.9)
         self.run_one(seconds=1.0)
         self.assertEqual(self.counts(), {0: {"acme": 1}})
@@ -103,13 +105,13 @@
         self.clock.advance(4.9)
         with meter.attempt(self.meter, "acme"):
             self.clock.advance(1.0)
-            self.assertEqual(self.meter.telling().complete_before, FIRST)
-        self.assertEqual(self.meter.telling().complete_before, FIRST + 1)
+            self.assertEqual(self.meter.snapshot().complete_before, FIRST)
+        self.assertEqual(self.meter.snapshot().complete_before, FIRST + 1)
 
-    def test_told_until_closed(self):
-        """A telling may be lost, so all is told again until its window is closed."""
+    def test_sent_until_closed(self):
+        """A snapshot may be lost, so each contains all windows that are not closed."""
         self.run_one()
-        first, second = self.meter.telling(), self.meter.telling()
+        first, second = self.meter.snapshot(), self.meter.snapshot()
         self.assertEqual(first.counts, second.counts)
         self.assertLess(first.sequence, second.sequence)
         self.learn(FIRST + 1)
@@ -118,121 +120,121 @@
         self.assertEqual(self.counts(), {}, "counted after its window was closed")
 
     def test_bounded(self):
-        """Without a control group the oldest windows go."""
+        """Without a control group the oldest windows are dropped."""
         for _ in range(meter.MAX_WINDOWS + 5):
             self.run_one()
             self.clock.advance(5.0)
         self.assertEqual(len(self.counts()), meter.MAX_WINDOWS)
 
-    def test_last_words(self):
-        self.assertFalse(self.meter.telling().is_last)
+    def test_last_snapshot(self):
+        self.assertFalse(self.meter.snapshot().is_last)
         self.meter.is_stopping = True
-        self.assertTrue(self.meter.telling().is_last)
+        self.assertTrue(self.meter.snapshot().is_last)
 
     def test_before_the_first_answer(self):
         fresh = meter.Meter(5.0)
         with meter.attempt(fresh, "acme") as attempt:
             attempt.began_at = self.clock.now
-        self.assertIsNone(fresh.telling())
+        self.assertIsNone(fresh.snapshot())
 
     def test_not_counted(self):
         with meter.attempt(None, "acme") as attempt:
             attempt.began_at = 1.0
 
 
-class Gathered(unittest.TestCase):
-    """When a window is closed, and with what; times since the window's first moment."""
+class Collected(unittest.TestCase):
+    """When a window is closed, and with which counts; times are since its beginning."""
 
-    DONE = telling({FIRST: {"acme": 2}})
-    OPEN = telling({FIRST: {"acme": 2}}, FIRST)
+    DONE = snapshot({FIRST: {"acme": 2}})
+    OPEN = snapshot({FIRST: {"acme": 2}}, FIRST)
 
     @tools.params(
-        ("told by all", [("g1", DONE), ("g2", DONE)], 5.1, {"acme": 4}),
-        ("not over", [("g1", DONE)], 4.9, None),
-        ("one still has work under way", [("g1", DONE), ("g2", OPEN)], 5.1, None),
-        ("waited for no longer", [("g1", DONE), ("g2", OPEN)], 11.0, {"acme": 4}),
-        ("nobody told anything", [], 5.1, {}),
+        ("received from all", [("g1", DONE), ("g2", DONE)], 5.1, {"acme": 4}),
+        ("window not over", [("g1", DONE)], 4.9, None),
+        ("one has a request in flight", [("g1", DONE), ("g2", OPEN)], 5.1, None),
+        ("no longer waited for", [("g1", DONE), ("g2", OPEN)], 11.0, {"acme": 4}),
+        ("no snapshots", [], 5.1, {}),
         (
             "killed and started again",
-            [("g1", OPEN), ("g1", telling({FIRST: {"beta": 1}}, incarnation="b"))],
+            [("g1", OPEN), ("g1", snapshot({FIRST: {"beta": 1}}, incarnation="b"))],
             5.1,
             {"acme": 2, "beta": 1},
         ),
         (
-            "told twice, the later first",
+            "two snapshots, the later first",
             [
-                ("g1", telling({FIRST: {"acme": 3}}, sequence=2)),
-                ("g1", telling({FIRST: {"acme": 1}}, sequence=1)),
+                ("g1", snapshot({FIRST: {"acme": 3}}, sequence=2)),
+                ("g1", snapshot({FIRST: {"acme": 1}}, sequence=1)),
             ],
             5.1,
             {"acme": 3},
         ),
         (
-            "stopped in order",
-            [("g1", telling({FIRST: {"acme": 1}}, FIRST, is_last=True))],
+            "stopped gracefully",
+            [("g1", snapshot({FIRST: {"acme": 1}}, FIRST, is_last=True))],
             5.1,
             {"acme": 1},
         ),
     )
-    def test_close(self, name, told, seconds, expected):
-        gathered = gathering.Gathering(OPTIONS, 900.0)
-        for address, each in told:
-            gathered.note(address, each, 1004.0)
-        closed = gathered.closable(FIRST, UNIX + seconds, 1000.0 + seconds, 3.0)
+    def test_close(self, name, snapshots, seconds, expected):
+        collected = collector.CountsCollector(OPTIONS, 900.0)
+        for address, each in snapshots:
+            collected.record(address, each, 1004.0)
+        closed = collected.closable(FIRST, UNIX + seconds, 1000.0 + seconds, 3.0)
         counts = [each.n_by_account for each in closed]
         self.assertEqual(counts, [] if expected is None else [expected], name)
 
-    A1 = telling({FIRST: {"acme": 1}}, sequence=4)
-    A2 = telling({FIRST: {"acme": 2}}, sequence=5)
-    B1 = telling({FIRST: {"beta": 1}}, incarnation="b")
-    B2 = telling({FIRST: {"beta": 2}}, incarnation="b", sequence=2)
+    A1 = snapshot({FIRST: {"acme": 1}}, sequence=4)
+    A2 = snapshot({FIRST: {"acme": 2}}, sequence=5)
+    B1 = snapshot({FIRST: {"beta": 1}}, incarnation="b")
+    B2 = snapshot({FIRST: {"beta": 2}}, incarnation="b", sequence=2)
 
     @tools.params(
-        ("an older one comes late", [A2, B1, A1, B2], {"acme": 2, "beta": 2}),
-        ("its last one comes late", [A1, B1, A2, B2], {"acme": 2, "beta": 2}),
-        ("by turns", [A1, B1, A2, A1, B2, B1, A2], {"acme": 2, "beta": 2}),
-        ("the later start is heard first", [B1, A1, B2], {"acme": 1, "beta": 2}),
+        ("an older one arrives late", [A2, B1, A1, B2], {"acme": 2, "beta": 2}),
+        ("the last one arrives late", [A1, B1, A2, B2], {"acme": 2, "beta": 2}),
+        ("in alternating order", [A1, B1, A2, A1, B2, B1, A2], {"acme": 2, "beta": 2}),
+        ("the later start arrives first", [B1, A1, B2], {"acme": 1, "beta": 2}),
     )
-    def test_tellings_of_two_starts_that_come_mixed(self, name, told, expected):
-        """An account is reported more requests than upstreams began for it.
+    def test_interleaved_snapshots_of_two_starts(self, name, snapshots, expected):
+        """An account is reported with more requests than upstreams began for it.
 
-        A gateway is killed and starts again. What it told before, held up on the way or
-        at a leader that stood still, comes between the tellings of its next start.
-        Joined by their arrival alone, the counts of one start were added two or three
-        times: 3 and 3 reported in the first case, where 2 and 2 had begun.
+        A gateway is killed and starts again. Snapshots of the first start are delayed,
+        in the network or by a suspended leader, and arrive between those of the second.
+        When counts were added in order of arrival, those of one start counted two or
+        three times: in the first case 3 and 3 were reported instead of 2 and 2.
         """
-        gathered = gathering.Gathering(OPTIONS, 900.0)
-        for each in told:
-            gathered.note("g1", each, 1004.0)
-        closed = list(gathered.closable(FIRST, UNIX + 5.1, 1005.1, 3.0))
+        collected = collector.CountsCollector(OPTIONS, 900.0)
+        for each in snapshots:
+            collected.record("g1", each, 1004.0)
+        closed = list(collected.closable(FIRST, UNIX + 5.1, 1005.1, 3.0))
         self.assertEqual(closed, [model.WindowCounts(FIRST, expected)], name)
 
-    def test_a_new_leader_waits_to_be_told(self):
-        gathered = gathering.Gathering(OPTIONS, 1004.0)
-        gathered.note("g1", self.DONE, 1004.5)
-        self.assertEqual(list(gathered.closable(FIRST, UNIX + 6, 1006.0, 3.0)), [])
-        closed = list(gathered.closable(FIRST, UNIX + 7.5, 1007.5, 3.0))
+    def test_new_leader_waits_for_snapshots(self):
+        collected = collector.CountsCollector(OPTIONS, 1004.0)
+        collected.record("g1", self.DONE, 1004.5)
+        self.assertEqual(list(collected.closable(FIRST, UNIX + 6, 1006.0, 3.0)), [])
+        closed = list(collected.closable(FIRST, UNIX + 7.5, 1007.5, 3.0))
         self.assertEqual(closed, [model.WindowCounts(FIRST, {"acme": 2})])
 
-    def test_after_a_long_stand_still(self):
-        """All windows since then are closed, in order, the empty ones too."""
-        gathered = gathering.Gathering(OPTIONS, 900.0)
-        gathered.note("g1", telling({FIRST + 2: {"acme": 1}}, FIRST + 9), 1040.0)
-        closed = list(gathered.closable(FIRST, UNIX + 21.0, 1041.0, 3.0))
+    def test_after_a_long_suspension(self):
+        """All windows that have passed are closed, in order, including empty ones."""
+        collected = collector.CountsCollector(OPTIONS, 900.0)
+        collected.record("g1", snapshot({FIRST + 2: {"acme": 1}}, FIRST + 9), 1040.0)
+        closed = list(collected.closable(FIRST, UNIX + 21.0, 1041.0, 3.0))
         self.assertEqual([each.window - FIRST for each in closed], [0, 1, 2, 3])
         self.assertEqual(closed[2].n_by_account, {"acme": 1})
 
     def test_former_processes_are_forgotten(self):
-        gathered = gathering.Gathering(OPTIONS, 900.0)
-        gathered.note("g1", self.DONE, 1004.0)
-        gathered.note("g1", telling({}, FIRST + 3, "b"), 1004.0)
-        self.assertEqual(gathered.first_window(), FIRST)
-        gathered.forget_before(FIRST + 1)
-        self.assertIsNone(gathered.first_window())
+        collected = collector.CountsCollector(OPTIONS, 900.0)
+        collected.record("g1", self.DONE, 1004.0)
+        collected.record("g1", snapshot({}, FIRST + 3, "b"), 1004.0)
+        self.assertEqual(collected.first_window(), FIRST)
+        collected.forget_before(FIRST + 1)
+        self.assertIsNone(collected.first_window())
 
 
 class Closed(unittest.TestCase):
-    """The first content of a window stands, whoever comes with another one."""
+    """A window keeps the counts with which it was closed first."""
 
     def apply(self, *given):
         state = machine.State()
--- a/tests/test_usage_path.py
+++ b/tests/test_usage_path.py
@@ -1,4 +1,4 @@
-"""Keys and reports of use over real sockets: a gateway, a control process, outside."""
+"""Keys and usage reports over real sockets: gateway, control process and receiver."""
 
 import json
 import tempfile
@@ -24,9 +24,9 @@
 
 class Path(unittest.TestCase):
     def setUp(self):
-        self.told = []
-        self.outside = scripted.Scripted(self.take, kind="receiver")
-        self.addCleanup(self.outside.stop)
+        self.reports = []
+        self.receiver_server = scripted.Scripted(self.handle_report, kind="receiver")
+        self.addCleanup(self.receiver_server.stop)
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.control_address = f"127.0.0.1:{helpers.free_port()}"
@@ -50,7 +50,9 @@
         return attrs.evolve(
             test_nodes_path.node(role, folder, self.control_address),
             revocation_seconds=2.0,
-            usage=usage_model.UsageOptions(WINDOW_SECONDS, 4.0, self.outside.address),
+            usage=usage_model.UsageOptions(
+                WINDOW_SECONDS, 4.0, self.receiver_server.address
+            ),
         )
 
     def stop_gateway(self):
@@ -58,8 +60,8 @@
             self.is_stopped = True
             self.gateway.stop()
 
-    def take(self, connection, received):
-        self.told.append(json.loads(received.body))
+    def handle_report(self, connection, received):
+        self.reports.append(json.loads(received.body))
         connection.sendall(scripted.answer(received, b""))
 
     def put(self, version, *given):
@@ -99,20 +101,20 @@
         before_sending()
         given = self.gateway.relay.handle(inbound, route)
         if isinstance(given, relay_model.Refused):
-            # Only the lease may have run out since the caller was looked at.
+            # Since the caller was checked, nothing but the lease may have expired.
             self.assertIs(given.reason, reasons.Reason.BUNDLE_LEASE_EXPIRED)
             return given.reason
         return given.status
 
-    def n_told(self):
+    def n_reported(self):
         total = {}
-        for report in self.told:
+        for report in self.reports:
             for account, n in report["counts"].items():
                 total[account] = total.get(account, 0) + n
         return total
 
     def test_keys_and_reports(self):
-        """Requests of two accounts are served and reported; one key is taken away."""
+        """Requests of two accounts are served and reported; one key is revoked."""
         self.wait_for(lambda: self.send("key-a") == 200)
         for _ in range(4):
             self.assertEqual(self.send("key-a"), 200)
@@ -121,28 +123,31 @@
         self.put(4, ACCOUNTS[1])
         self.wait_for(lambda: self.send("key-a") is reasons.Reason.UNAUTHORIZED)
         n_before = self.app.request_ids.count("r1")
-        self.wait_for(lambda: sum(self.n_told().values()) >= n_before)
-        self.assertEqual(sum(self.n_told().values()), n_before)
-        self.assertEqual(self.n_told()["beta"], 4)
-        windows = [each["window"] for each in self.told]
+        self.wait_for(lambda: sum(self.n_reported().values()) >= n_before)
+        self.assertEqual(sum(self.n_reported().values()), n_before)
+        self.assertEqual(self.n_reported()["beta"], 4)
+        windows = [each["window"] for each in self.reports]
         self.assertEqual(windows, sorted(set(windows)))
 
-    def test_stopping_gateway_tells_what_it_counted(self):
-        """It ends within one renewal of its last request: nobody else knows of it."""
+    def test_stopping_gateway_sends_its_counts(self):
+        """A gateway that stops sends its last counts, which no other process has.
+
+        It stops less than one renewal interval after its last request.
+        """
         self.wait_for(lambda: self.send("key-a") == 200)
         self.assertEqual(self.send("key-b"), 200)
         self.stop_gateway()
-        self.wait_for(lambda: self.n_told().get("beta") == 1)
-        self.assertEqual(self.n_told(), {"acme": 1, "beta": 1})
+        self.wait_for(lambda: self.n_reported().get("beta") == 1)
+        self.assertEqual(self.n_reported(), {"acme": 1, "beta": 1})
 
     def test_no_leader(self):
-        """The control process ends: keys work on for the lease, then nobody's does."""
+        """No leader answers: keys are accepted until the lease expires, then none."""
         self.wait_for(lambda: self.send("key-a") == 200)
         self.control.replica.stop()
         self.assertEqual(self.send("key-a"), 200)
         expired = reasons.Reason.BUNDLE_LEASE_EXPIRED
         is_confirmed = self.gateway.view.is_policy_confirmed
-        # The lease runs out between the look at the caller and the sending.
+        # The lease expires between the check of the caller and the sending.
         given = self.send("key-a", lambda: self.wait_for(lambda: not is_confirmed()))
         self.assertIs(given, expired)
         self.assertIs(self.send("key-a"), expired)
--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -1,6 +1,6 @@
-"""From a request at a gateway to the receiver of reports, with what goes wrong between.
+"""From a request at a gateway to the receiver of reports, with failures in between.
 
-BILBERRYDRUM_SCHEDULES sets how many drawn schedules are run.
+BILBERRYDRUM_SCHEDULES sets how many random schedules are run.
 """
 
 import os
@@ -20,139 +20,157 @@
 
 
 class Reported(unittest.TestCase):
-    """From a request at a gateway to the receiver, with what may go wrong between."""
+    """Reports are exact in spite of one kind of failure at a time."""
 
-    def check(self, made, is_exact=True):
-        self.assertEqual(made.receiver.broken, [])
+    def check(self, world, is_exact=True):
+        self.assertEqual(world.receiver.violations, [])
         if is_exact:
-            told = made.receiver.counts_by_window
-            for window, counts in made.truth.items():
-                self.assertEqual(told.get(window), counts, window - usage_world.FIRST)
+            reported = world.receiver.counts_by_window
+            for window, counts in world.truth.items():
+                self.assertEqual(
+                    reported.get(window), counts, window - usage_world.FIRST
+                )
 
-    def serve_and_run(self, made, seconds=8.0):
+    def serve_and_run(self, world, seconds=8.0):
         for _ in range(int(seconds * 2)):
-            made.serve("g0")
-            made.serve("g1", "beta")
-            made.step()
+            world.serve("g0")
+            world.serve("g1", "beta")
+            world.step()
 
     def test_calm(self):
-        """Each window's report is there soon after its end, and exact."""
-        with usage_world.world() as made:
-            self.serve_and_run(made)
-            made.run(7.0)
-            self.check(made)
-            self.assertEqual(made.group.state_.sections["usage"].pending_by_window, {})
+        """Each window is reported soon after its end, with exact counts."""
+        with usage_world.world() as world:
+            self.serve_and_run(world)
+            world.run(7.0)
+            self.check(world)
+            self.assertEqual(world.group.state_.sections["usage"].pending_by_window, {})
 
     @tools.params("answers", "silent", "late", "down", "busy")
-    def test_receiver(self, how):
-        """The receiver is out of order for 20 s; then all windows are caught up."""
-        with usage_world.world() as made:
-            made.receiver.how = how
-            self.serve_and_run(made, 20.0)
-            made.receiver.how = "answers"
-            made.run(10.0)
-            made.receiver.carry_out_late(random.Random(1))
-            self.check(made)
+    def test_receiver(self, mode):
+        """The receiver fails for 20 s; then all windows are reported."""
+        with usage_world.world() as world:
+            world.receiver.mode = mode
+            self.serve_and_run(world, 20.0)
+            world.receiver.mode = "answers"
+            world.run(10.0)
+            world.receiver.carry_out_late(random.Random(1))
+            self.check(world)
 
     def test_holder_changes_between_the_commit_and_the_call(self):
-        """The next leader reports what was closed, not what it would have closed."""
-        with usage_world.world() as made:
-            made.receiver.how = "down"
-            self.serve_and_run(made)
-            closed = dict(made.group.state_.sections["usage"].pending_by_window)
+        """The next leader reports the counts that were closed, not counts of its own.
+
+        A window is closed, and the leader changes before it is reported. The next
+        leader may have other counts by then.
+        """
+        with usage_world.world() as world:
+            world.receiver.mode = "down"
+            self.serve_and_run(world)
+            closed = dict(world.group.state_.sections["usage"].pending_by_window)
             self.assertTrue(closed)
-            made.lead(1)
-            made.receiver.how = "answers"
-            made.run(9.0)
-            self.check(made)
+            world.lead(1)
+            world.receiver.mode = "answers"
+            world.run(9.0)
+            self.check(world)
             for window, counts in closed.items():
                 self.assertEqual(
-                    made.receiver.counts_by_window[window], counts.n_by_account
+                    world.receiver.counts_by_window[window], counts.n_by_account
                 )
 
     def test_holder_changes_between_the_call_and_its_answer(self):
-        """Sent by the first, and again by the second: the same to the receiver."""
-        with usage_world.world() as made:
-            made.receiver.how = "silent"
-            self.serve_and_run(made)
-            made.lead(2)
-            made.receiver.how = "answers"
-            made.run(9.0)
-            self.check(made)
+        """Two leaders send the same report.
+
+        The first leader's call is carried out, but its answer is lost, so the second
+        leader sends the report again. The receiver must get the same counts.
+        """
+        with usage_world.world() as world:
+            world.receiver.mode = "silent"
+            self.serve_and_run(world)
+            world.lead(2)
+            world.receiver.mode = "answers"
+            world.run(9.0)
+            self.check(world)
 
     def test_commit_whose_answer_is_lost(self):
-        with usage_world.world() as made:
-            made.group.loses_answers = True
-            self.serve_and_run(made)
-            made.group.loses_answers = False
-            made.run(9.0)
-            self.check(made)
+        with usage_world.world() as world:
+            world.group.loses_answers = True
+            self.serve_and_run(world)
+            world.group.loses_answers = False
+            world.run(9.0)
+            self.check(world)
 
     def test_gateway_killed(self):
-        """What it told last counts; what it had not told is lost, and nothing else."""
-        with usage_world.world() as made:
-            self.serve_and_run(made, 3.0)
-            made.serve("g0")
-            made.meters["g0"] = meter.Meter(5.0)
-            made.run(12.0)
-            self.check(made, is_exact=False)
+        """Requests in its last snapshot count; only those counted after it are lost."""
+        with usage_world.world() as world:
+            self.serve_and_run(world, 3.0)
+            world.serve("g0")
+            world.meters["g0"] = meter.Meter(5.0)
+            world.run(12.0)
+            self.check(world, is_exact=False)
             missing = {
-                window: counts["acme"] - made.receiver.counts_by_window[window]["acme"]
-                for window, counts in made.truth.items()
+                window: counts["acme"] - world.receiver.counts_by_window[window]["acme"]
+                for window, counts in world.truth.items()
             }
             self.assertEqual(sum(missing.values()), 1, missing)
 
     def test_gateway_cut_off_over_a_windows_end(self):
-        """Its counts come four seconds late and are waited for."""
-        with usage_world.world() as made:
-            held = made.meters.pop("g1")
+        """Its counts arrive four seconds late and are waited for."""
+        with usage_world.world() as world:
+            held = world.meters.pop("g1")
             for _ in range(8):
-                made.serve("g0")
+                world.serve("g0")
                 with meter.attempt(held, "beta") as attempt:
-                    attempt.began_at = made.clock.now
+                    attempt.began_at = world.clock.now
                 window = model.window_at(
-                    usage_world.UNIX + made.clock.now - 1000.0, 5.0
+                    usage_world.UNIX + world.clock.now - 1000.0, 5.0
                 )
-                counts = made.truth.setdefault(window, {})
+                counts = world.truth.setdefault(window, {})
                 counts["beta"] = counts.get("beta", 0) + 1
-                made.step()
-            made.meters["g1"] = held
-            made.run(12.0)
-            self.check(made)
+                world.step()
+            world.meters["g1"] = held
+            world.run(12.0)
+            self.check(world)
 
     def test_leaders_change_in_series(self):
-        with usage_world.world() as made:
+        with usage_world.world() as world:
             for n in (1, 2, 0, 1):
-                self.serve_and_run(made, 6.0)
-                made.lead(n)
-            made.run(14.0)
-            self.check(made)
+                self.serve_and_run(world, 6.0)
+                world.lead(n)
+            world.run(14.0)
+            self.check(world)
 
     def test_refused_number_is_not_used_again(self):
-        """The receiver has seen a higher number: the holder stops calling."""
-        with usage_world.world() as made:
-            made.receiver.highest_number = 99
-            self.serve_and_run(made)
-            made.run(12.0)
-            self.assertEqual(made.receiver.n_refused, 1)
-
-    def test_turns(self):
-        """A leads, B leads and acts, A leads again: A waits until its turn is over."""
-        with usage_world.world() as made:
-            first, second = made.replicas[:2]
+        """The receiver has seen a higher number, so the holder stops calling."""
+        with usage_world.world() as world:
+            world.receiver.highest_number = 99
+            self.serve_and_run(world)
+            world.run(12.0)
+            self.assertEqual(world.receiver.n_refused, 1)
+
+    def test_waits_after_regaining_leadership(self):
+        """A replica that regains leadership waits before it sends again.
+
+        A leads, B leads, A leads again. Without the wait, the receiver would see
+        reports of two holders in turn.
+        """
+        with usage_world.world() as world:
+            first, second = world.replicas[:2]
             right = tenure.Tenure(first, 3.0, True)
             self.assertIsNotNone(right.take_number())
-            made.group.elect(second)
+            world.group.elect(second)
             self.assertIsNone(right.take_number())
-            made.group.elect(first)
-            made.clock.advance(2.0)
+            world.group.elect(first)
+            world.clock.advance(2.0)
             self.assertIsNone(right.take_number())
-            made.clock.advance(1.5)
+            world.clock.advance(1.5)
             self.assertIsNotNone(right.take_number())
 
     @tools.params((True, 1), (False, None))
     def test_new_holder(self, is_fenced, expected):
-        """Where numbers are not checked, what the one before sent must be over."""
+        """If the receiver does not check numbers, a new holder waits.
+
+        A report that the previous holder sent may still be carried out; it must be over
+        before the new holder sends.
+        """
         with helpers.manual_clock() as clock:
             group = usage_world.Group(clock)
             replica = usage_world.Replica(group)
@@ -187,37 +205,37 @@
     )
     def test_no_two_reports_differ(self, steps, is_fenced, seed):
         rng = random.Random(seed)
-        with usage_world.world(is_fenced) as made:
+        with usage_world.world(is_fenced) as world:
             for each in steps:
-                self.carry_out(made, each, rng)
-            made.receiver.how = "answers"
-            made.group.loses_answers = False
-            made.run(15.0)
-            made.receiver.carry_out_late(rng)
-            self.assertEqual(made.receiver.broken, [])
-            # Nothing is reported that did not begin.
-            for window, counts in made.receiver.counts_by_window.items():
-                truth = made.truth.get(window, {})
+                self.carry_out(world, each, rng)
+            world.receiver.mode = "answers"
+            world.group.loses_answers = False
+            world.run(15.0)
+            world.receiver.carry_out_late(rng)
+            self.assertEqual(world.receiver.violations, [])
+            # No requests are reported that did not begin.
+            for window, counts in world.receiver.counts_by_window.items():
+                truth = world.truth.get(window, {})
                 for account, n in counts.items():
                     self.assertLessEqual(n, truth.get(account, 0))
-            # All that was closed is reported in the end.
-            section = made.group.state_.sections["usage"]
+            # All closed windows are reported in the end.
+            section = world.group.state_.sections["usage"]
             self.assertEqual(section.pending_by_window, {})
 
-    def carry_out(self, made, step, rng):
+    def carry_out(self, world, step, rng):
         kind, _, what = step.partition(" ")
         if kind == "serve":
-            made.serve(what, rng.choice(["acme", "beta"]))
+            world.serve(what, rng.choice(["acme", "beta"]))
         elif kind == "step":
-            made.step(float(what or 0.5))
+            world.step(float(what or 0.5))
         elif kind == "lead":
-            made.lead(int(what))
+            world.lead(int(what))
         elif kind == "kill":
-            made.meters[what] = meter.Meter(5.0)
-            made.renew(what)
+            world.meters[what] = meter.Meter(5.0)
+            world.renew(what)
         elif kind == "carry":
-            made.receiver.carry_out_late(rng)
+            world.receiver.carry_out_late(rng)
         elif kind in ("lose", "keep"):
-            made.group.loses_answers = kind == "lose"
+            world.group.loses_answers = kind == "lose"
         else:
-            made.receiver.how = kind
+            world.receiver.mode = kind
