--- a/bilberrydrum/usage/reporter.py
+++ b/bilberrydrum/usage/reporter.py
@@ -145,9 +145,9 @@
             if now - each.received_at < _COLLECT_SECONDS
         ]
         offsets.append(clock.unix_now() - now)
-        agreed = cluster_clock.median_offset(offsets)
-        assert agreed is not None
-        return now + agreed
+        median = cluster_clock.median_offset(offsets)
+        assert median is not None
+        return now + median
 
     def closed_before(self) -> int:
         """Return the oldest window that is not closed."""
@@ -206,16 +206,16 @@
         """Report all closed windows that are not confirmed, the oldest first."""
         pending = self._section().pending_by_window
         counters.USAGE_PENDING.set(len(pending))
-        taken = []
+        accepted = []
         for window, counts in sorted(pending.items()):
             if not self._send(counts):
                 break
-            taken.append(window)
-        if taken:
-            # If the command is lost, the reports are sent again, which the receiver
-            # ignores.
+            accepted.append(window)
+        if accepted:
+            # If the command is lost, the same reports are sent again, which changes
+            # nothing at the receiver.
             self._replica.propose(
-                commands.ConfirmWindows(tuple(taken)), _COMMIT_SECONDS
+                commands.ConfirmWindows(tuple(accepted)), _COMMIT_SECONDS
             )
 
     def _send(self, counts: model.WindowCounts) -> bool:
--- a/tests/test_bundles_check.py
+++ b/tests/test_bundles_check.py
@@ -57,7 +57,7 @@
         self.assertEqual(bundle.cut_policy, model.CUT_REFUSE)
 
     @tools.params(*FAULTS)
-    def test_fault_is_found_at_its_place(
+    def test_fault_is_found_at_its_position(
         self, name: str, old: str, new: str, line: int, column: int, message: str
     ) -> None:
         self.assertEqual(VALID.count(old), 1, f"{name}: the case does not apply")
--- a/tests/test_bundles_commands.py
+++ b/tests/test_bundles_commands.py
@@ -86,7 +86,7 @@
         self.assertEqual(answer.reason, reasons.Reason[reason])
         self.assertEqual(codec.encode(section(self.state)), before)
 
-    def test_draft_made_from_an_overtaken_parent_is_not_rolled(self) -> None:
+    def test_draft_made_from_a_superseded_parent_is_not_rolled(self) -> None:
         """Two operators make bundles 2 and 3 from bundle 1; 2 is rolled first.
 
         Rolling 3 would undo the changes of 2, which nobody decided. Its operator gets
--- a/tests/test_usage.py
+++ b/tests/test_usage.py
@@ -70,9 +70,9 @@
         self.clock = held.__enter__()
         self.addCleanup(held.__exit__, None, None, None)
         self.meter = meter.Meter(5.0)
-        self.learn()
+        self.update()
 
-    def learn(self, closed_before=0):
+    def update(self, closed_before=0):
         unix_time = UNIX + self.clock.now - 1000.0
         self.meter.update(unix_time, self.clock.now, self.clock.now, closed_before)
 
@@ -95,13 +95,13 @@
         self.run_one()
         self.assertEqual(self.counts(), {0: {"acme": 1, "beta": 1}, 1: {"acme": 1}})
 
-    def test_by_the_sending(self):
-        """A request counts in the window in which it was sent, however long it is."""
+    def test_counted_in_the_window_of_sending(self):
+        """A request counts in the window it was sent in, however long it takes."""
         self.clock.advance(4.9)
         self.run_one(seconds=1.0)
         self.assertEqual(self.counts(), {0: {"acme": 1}})
 
-    def test_complete_once_nothing_is_under_way(self):
+    def test_complete_once_nothing_is_in_flight(self):
         self.clock.advance(4.9)
         with meter.attempt(self.meter, "acme"):
             self.clock.advance(1.0)
@@ -114,7 +114,7 @@
         first, second = self.meter.snapshot(), self.meter.snapshot()
         self.assertEqual(first.counts, second.counts)
         self.assertLess(first.sequence, second.sequence)
-        self.learn(FIRST + 1)
+        self.update(FIRST + 1)
         self.assertEqual(self.counts(), {})
         self.run_one()
         self.assertEqual(self.counts(), {}, "counted after its window was closed")
--- a/tests/test_usage_path.py
+++ b/tests/test_usage_path.py
@@ -132,7 +132,8 @@
     def test_stopping_gateway_sends_its_counts(self):
         """A gateway that stops sends its last counts, which no other process has.
 
-        It stops less than one renewal interval after its last request.
+        It stops within one renewal interval of its last request, so the counts of that
+        request have not been sent before.
         """
         self.wait_for(lambda: self.send("key-a") == 200)
         self.assertEqual(self.send("key-b"), 200)
