--- a/bilberrydrum/fleet/control.py
+++ b/bilberrydrum/fleet/control.py
@@ -292,7 +292,7 @@
         feed = self._feed_for(subscriber)
         if self._usage is None:
             return feed
-        self._usage.heard(sender.address, message.unix_time, message.usage)
+        self._usage.handle_renewal(sender.address, message.unix_time, message.usage)
         return attrs.evolve(
             feed,
             unix_time=self._usage.unix_time(),
