--- a/misc/soaks/soak_accounts.py
+++ b/misc/soaks/soak_accounts.py
@@ -80,7 +80,7 @@
         if status == 401 and sent is not None and sent.key in (DESK_KEY, TRAINER_KEY):
             self._find(f"{request_id} was refused with 401 under a key in force")
 
-    def ran(self, request_id: str, claim: standin_accounts.Claim) -> None:
+    def ran(self, request_id: str, claim: standin_accounts.CallerIdentity) -> None:
         """Note a request that an upstream got; items are the trainer's."""
         sent = self._sent_by_request.get(request_id)
         is_desk = sent is not None and sent.key != TRAINER_KEY
@@ -121,7 +121,7 @@
         self._server.stop()
 
     def _take(self, connection: Any, received: scripted.Received) -> Any:
-        report = standin_accounts.report(received.headers, received.body)
+        report = standin_accounts.read_report(received.headers, received.body)
         chance = random.random()
         if chance < _BUSY_SHARE:
             return self._answer(connection, received, "429 X")
--- a/misc/soaks/soak_clients.py
+++ b/misc/soaks/soak_clients.py
@@ -252,7 +252,7 @@
                 self._await_groups(batch, patience_seconds(self._trainer_rng))
                 left = self._left_items(batch)
                 open_ids.append(batch.batch_id)
-            if self.announce(standins.name_version(MODEL, version + 1)):
+            if self.announce(standins.publish_version(MODEL, version + 1)):
                 self._ledger.named(MODEL, version + 1)
             # What is left comes again at once, while its runs are being broken off.
             if open_ids and self._trainer_rng.random() >= OVERLAP_SHARE:
@@ -317,7 +317,7 @@
         call = standins.read_results(HOST, batch_id, position, key)
         answer = ask_once(self._rng.choice(self._gateways), call)
         if answer.status == 200:
-            self._ledger.read(batch_id, position, standins.page(answer.body))
+            self._ledger.read(batch_id, position, standins.read_page(answer.body))
         elif answer.status == 404:
             self._ledger.not_found(batch_id, asked_at)
         return answer.status == 200
--- a/misc/soaks/soak_ledger.py
+++ b/misc/soaks/soak_ledger.py
@@ -46,7 +46,7 @@
     accepted_at: float
     # Items that are scored.
     scored_ids: frozenset[str] = frozenset()
-    results: list[standins.Listed] = attrs.field(factory=list)
+    results: list[standins.BatchResult] = attrs.field(factory=list)
     ended_at: float | None = None
     # Its end was asked for; it may hold, whether or not the answer was seen.
     is_end_asked: bool = False
@@ -166,7 +166,7 @@
         """Note an acknowledged version of a model."""
         self.named_by_model[model] = max(version, self.named_by_model.get(model, 0))
 
-    def ordered(self, upstream_id: str, order: standins.OrderGiven) -> None:
+    def ordered(self, upstream_id: str, order: standins.ReceivedOrder) -> None:
         """Note an order that an engine has got."""
         self.counts["orders"] += 1
         self.leader = order.holder
@@ -316,7 +316,7 @@
             batch.results.append(listed)
 
     def _check_result(
-        self, batch_id: str, batch: _Batch, listed: standins.Listed
+        self, batch_id: str, batch: _Batch, listed: standins.BatchResult
     ) -> None:
         item_id = listed.item_id
         if item_id not in batch.n_events_by_item_id:
@@ -334,7 +334,9 @@
             for fault in self._text_faults(listed, batch):
                 self._find(f"{item_id} of {batch_id}: {fault}")
 
-    def _text_faults(self, listed: standins.Listed, batch: _Batch) -> Iterator[str]:
+    def _text_faults(
+        self, listed: standins.BatchResult, batch: _Batch
+    ) -> Iterator[str]:
         n_due = batch.n_events_by_item_id[listed.item_id]
         yield from self.runs.faults(listed.item_id, n_due, listed.text)
         versions = self.runs.made_under(listed.text)
--- a/misc/soaks/soak_site.py
+++ b/misc/soaks/soak_site.py
@@ -74,7 +74,7 @@
         self._folder = folder
         self._ledger = ledger
         self.processes = processes.Processes(folder)
-        self.hosts_by_name: dict[str, standins.Host] = {}
+        self.hosts_by_name: dict[str, standins.ProcessSettings] = {}
         self.links_by_name: dict[str, list[soak_links.Link]] = {}
         self._tasks: list[Any] = []
         # Processes that a fault keeps down.
@@ -108,7 +108,7 @@
                 number += 1
                 name = f"{role.value}-{n}"
                 has_disk = role is not options.Role.GATEWAY
-                self.hosts_by_name[name] = standins.Host(
+                self.hosts_by_name[name] = standins.ProcessSettings(
                     name,
                     role,
                     f"127.{slot}.2.{number}",
--- a/misc/soaks/soak_upstreams.py
+++ b/misc/soaks/soak_upstreams.py
@@ -147,7 +147,7 @@
             eventlet.sleep(ANNOUNCE_SECONDS)
 
     def _announce_wrongly(self, announcement: standins.Announcement) -> None:
-        call = standins.announce_wrongly(announcement, random.Random())
+        call = standins.announce_corrupted(announcement, random.Random())
         self._ledger.announced_wrongly(call.body, self._announce(call))
 
     @property
@@ -157,7 +157,7 @@
     # Requests
 
     def _serve(self, connection: Any, received: scripted.Received) -> Any:
-        work = standins.work(received.headers)
+        work = standins.read_request(received.headers)
         if work.expected_id and work.expected_id != self.announced_id:
             return self._send(connection, 421, b"", standins.NOT_RUN_HEADERS)
         if received.target == standins.REPORT_TARGET:
@@ -173,7 +173,7 @@
             return self._order(connection, received)
         batch_id = received.headers.get(soak_ledger.BATCH_HEADER.lower(), "")
         self._ledger.received(self.upstream_id, work.request_id, clock.now(), batch_id)
-        claim = standin_accounts.claim(received.headers)
+        claim = standin_accounts.read_identity(received.headers)
         self._ledger.accounts.ran(work.request_id, claim)
         if self._n_running >= SLOTS:
             headers = standins.answer_headers(work.request_id)
@@ -195,7 +195,10 @@
         connection.sendall(("\r\n".join(lines) + "\r\n\r\n").encode() + body)
 
     def _answer(
-        self, connection: Any, received: scripted.Received, work: standins.Work
+        self,
+        connection: Any,
+        received: scripted.Received,
+        work: standins.ReceivedRequest,
     ) -> None:
         if received.body == soak_ledger.CRASHING_BODY:
             self._ledger.crashing_reached(work.request_id, clock.now())
@@ -217,7 +220,7 @@
         self,
         connection: Any,
         received: scripted.Received,
-        work: standins.Work,
+        work: standins.ReceivedRequest,
         batch_id: str,
     ) -> bool:
         shape = soak_runs.Shape.read(received.body)
@@ -244,12 +247,12 @@
     # Orders
 
     def _order(self, connection: Any, received: scripted.Received) -> None:
-        order = standins.order_given(received.body)
+        order = standins.read_order(received.body)
         self._ledger.ordered(self.upstream_id, order)
         status = self._order_status(order)
         self._send(connection, status, b"", {})
 
-    def _order_status(self, order: standins.OrderGiven) -> int:
+    def _order_status(self, order: standins.ReceivedOrder) -> int:
         if order.fencing_number < self._highest_number:
             return 412
         self._highest_number = order.fencing_number
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -245,16 +245,16 @@
     )
     def test_batches_belong_to_accounts(self, name, key, expected):
         """All keys of the owner give access to its batch; other accounts have none."""
-        node = shared.Node(*[test_platform_clients.KEPT] * 2)
+        node = shared.Node(*[test_platform_clients.SUBMITTED] * 2)
         submitted = self.call(
             node, "POST", "/b/1", test_platform_clients.BATCH, Api_Key="key-a1"
         )
         self.assertEqual(submitted.status, 202)
-        kept = batch_model.unpack_batch(node.calls.asked[0].data)
+        kept = batch_model.unpack_batch(node.calls.messages[0].data)
         self.assertEqual((kept.batch_id, kept.account), ("acme/b1", "acme"))
         node.calls.answers = [test_platform_clients.PAGE]
         self.call(node, "GET", "/api/lots/b1", b"", Api_Key=key)
-        self.assertEqual(node.calls.asked[1], batch_messages.Read(expected, 0, 0.0))
+        self.assertEqual(node.calls.messages[1], batch_messages.Read(expected, 0, 0.0))
 
     def test_an_id_cannot_name_another_account(self):
         """``b/c`` of account ``a`` would otherwise be ``c`` of account ``a/b``."""
@@ -268,7 +268,7 @@
             X_Attempt_Id="b/c",
         )
         self.assertEqual(given.status, 400)
-        self.assertEqual(node.calls.asked, [])
+        self.assertEqual(node.calls.messages, [])
 
 
 class Precedence(unittest.TestCase):
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -1,4 +1,4 @@
-"""Experiments: a plan's faults with their places, reports, paired differences."""
+"""Experiments: faults in a plan with their locations, reports, paired differences."""
 
 import json
 import pathlib
@@ -36,16 +36,21 @@
             return given.ok_value
         return [str(each).removeprefix(prefix) for each in given.err_value]
 
-    def test_good(self):
+    def test_valid(self):
         given = self.read(PLAN)
         self.assertEqual(given.variants, {"before": "HEAD~1", "after": "HEAD"})
         self.assertEqual((given.seeds, given.n_at_a_time), ((1, 2), 4))
 
     @tools.params(
-        ("one variant", "  after: HEAD\n", "", "6:3: error: a comparison needs two"),
-        ("no seeds", "[1, 2]", "[]", "4:8: error: seeds must have an entry"),
-        ("a seed twice", "[1, 2]", "[1, 1]", "4:8: error: a seed stands twice"),
-        ("no such site", "[{file}]", "[/none]", "2:9: error: there is no such file"),
+        (
+            "one variant",
+            "  after: HEAD\n",
+            "",
+            "6:3: error: a comparison needs at least two",
+        ),
+        ("no seeds", "[1, 2]", "[]", "4:8: error: seeds must have at least one entry"),
+        ("a seed twice", "[1, 2]", "[1, 1]", "4:8: error: a seed is given twice"),
+        ("no such site", "[{file}]", "[/none]", "2:9: error: file does not exist"),
         ("seeds are words", "[1, 2]", "[a]", "4:9: error: expected a decimal integer"),
         ("unknown field", "why:", "whi:", "8:1: error: "),
     )
@@ -91,25 +96,27 @@
 
 
 class Paired(unittest.TestCase):
-    def test_only_what_both_played(self):
-        """The third seed was played by one variant only, and is far off.
+    def test_only_cases_that_both_ran(self):
+        """A seed that only one variant has run would distort the comparison.
 
-        Counted in, it would tell of the seed and not of the change.
+        The third seed was run by the first variant only, and its figure differs a lot.
+        If it were counted, the difference would be that between seeds and not the
+        effect of the change.
         """
         before, after = outcomes(0.5, 0.7, 0.1), outcomes(0.6, 0.8, None)
         given = comparison.paired(before, after, lambda each: each.worth)
-        whole = comparison.difference(list(given.values()))
-        self.assertEqual(whole.n_pairs, 2)
-        self.assertAlmostEqual(whole.mean, 0.1)
+        overall = comparison.difference(list(given.values()))
+        self.assertEqual(overall.n_pairs, 2)
+        self.assertAlmostEqual(overall.mean, 0.1)
 
     @tools.params(
-        ("clear", [0.1, 0.11, 0.09], True),
-        ("within the spread", [0.1, -0.1, 0.05], False),
+        ("significant", [0.1, 0.11, 0.09], True),
+        ("not significant", [0.1, -0.1, 0.05], False),
         ("one pair", [0.1], False),
         ("none", [], False),
     )
-    def test_is_clear(self, name, values, expected):
-        self.assertEqual(comparison.difference(values).is_clear, expected, name)
+    def test_is_significant(self, name, values, expected):
+        self.assertEqual(comparison.difference(values).is_significant, expected, name)
 
     def test_table(self):
         given = {"before": outcomes(0.5, 0.7), "after": outcomes(0.6, 0.8)}
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: settings, configurations, and bad input on each of its interfaces."""
+"""The platform adapter: settings, configurations, and invalid input to its calls."""
 
 import json
 import pathlib
@@ -54,9 +54,13 @@
 """
 
 
-class Folder(unittest.TestCase):
+class StandardModule(unittest.TestCase):
     def test_standard_module_is_not_shadowed(self):
-        """A package at the root with this name would break whoever imports it."""
+        """Importing `platform` from the root still gives the standard library's module.
+
+        The folder `platform` has no `__init__.py`. As a package it would take
+        precedence, and each module that imports the standard one would fail.
+        """
         code = "import platform; print(platform.python_version())"
         done = subprocess.run(
             [sys.executable, "-c", code], cwd=ROOT, capture_output=True, check=False
@@ -171,24 +175,24 @@
 
 
 class Calls:
-    """Stands for the way to a group's leader."""
+    """Fake of the calls to a group's leader; it returns the given answers in order."""
 
     def __init__(self, *answers):
         self.answers = list(answers)
-        self.asked = []
+        self.messages = []
 
     def call(self, message, timeout, try_seconds=0.0, request_id=""):
-        self.asked.append(message)
+        self.messages.append(message)
         return self.answers.pop(0)
 
 
-def lost(may_have_applied=True):
+def state_error(may_have_applied=True):
     reason = reasons.Reason.STATE_UNAVAILABLE
     return result.Err(client.StateError(reason, may_have_applied))
 
 
 class Node:
-    """Stands for a control process or a gateway."""
+    """Fake of a control process or a gateway."""
 
     def __init__(self, *answers):
         self.calls = self.store_calls = Calls(*answers)
@@ -236,10 +240,10 @@
     "models": [{"name": "m", "version": 4, "adapters": []}],
     "seq": 3,
 }
-BEAT = "/api/instances/i-1/heartbeat"
+HEARTBEAT = "/api/instances/i-1/heartbeat"
 PUT = "/api/config/replace"
 DONE = result.Ok(messages.Done())
-NO = result.Ok(messages.Retirement(is_known=False))
+UNKNOWN = result.Ok(messages.Retirement(is_known=False))
 REFUSED = result.Ok(messages.Retirement(is_refused=True))
 ACTIVE = result.Ok(messages.Retirement())
 FINISHED = result.Ok(messages.Retirement(is_done=True))
@@ -256,19 +260,26 @@
 
 
 class ControlInterface(unittest.TestCase):
-    """Each call's status for good input, bad input, and an unreachable leader."""
+    """The status of each call for valid input, invalid input, and without a leader."""
 
     @tools.params(
-        ("announced", "POST", BEAT, ANNOUNCED, DONE, 200),
-        ("no leader", "POST", BEAT, ANNOUNCED, lost(), 503),
-        ("not JSON", "POST", BEAT, b"{", None, 400),
-        ("a list", "POST", BEAT, [], None, 400),
-        ("no number", "POST", BEAT, without(ANNOUNCED, "seq"), None, 400),
-        ("slots are text", "POST", BEAT, {**ANNOUNCED, "slots": "x"}, None, 400),
-        ("models are a number", "POST", BEAT, {**ANNOUNCED, "models": 3}, None, 400),
-        ("left", "POST", "/api/instances/i-1/deregister", b"", DONE, 200),
-        ("taken", "POST", PUT, CONFIGURATION, DONE, 200),
-        ("taken or not", "POST", PUT, CONFIGURATION, lost(), 503),
+        ("announced", "POST", HEARTBEAT, ANNOUNCED, DONE, 200),
+        ("no leader", "POST", HEARTBEAT, ANNOUNCED, state_error(), 503),
+        ("not JSON", "POST", HEARTBEAT, b"{", None, 400),
+        ("a list", "POST", HEARTBEAT, [], None, 400),
+        ("no number", "POST", HEARTBEAT, without(ANNOUNCED, "seq"), None, 400),
+        ("slots are text", "POST", HEARTBEAT, {**ANNOUNCED, "slots": "x"}, None, 400),
+        (
+            "models are a number",
+            "POST",
+            HEARTBEAT,
+            {**ANNOUNCED, "models": 3},
+            None,
+            400,
+        ),
+        ("departed", "POST", "/api/instances/i-1/deregister", b"", DONE, 200),
+        ("accepted", "POST", PUT, CONFIGURATION, DONE, 200),
+        ("outcome unknown", "POST", PUT, CONFIGURATION, state_error(), 503),
         ("cut short", "POST", PUT, dumped(CONFIGURATION)[:-3], None, 400),
         (
             "no timeout",
@@ -288,15 +299,29 @@
         ),
         ("read", "GET", "/api/config/read", b"", READ, 200),
         ("nothing yet", "GET", "/api/config/read", b"", NONE_YET, 503),
-        ("not sure", "GET", "/api/config/read", b"", lost(), 503),
-        ("named", "POST", "/api/version-put", {"model": "m", "version": 2}, DONE, 200),
+        ("no leader to read from", "GET", "/api/config/read", b"", state_error(), 503),
+        (
+            "version published",
+            "POST",
+            "/api/version-put",
+            {"model": "m", "version": 2},
+            DONE,
+            200,
+        ),
         ("no number", "POST", "/api/version-put", {"model": "m"}, None, 400),
-        ("emptied", "POST", "/api/retire/s-1/begin", {"duration_s": 9}, ACTIVE, 200),
-        ("unknown", "POST", "/api/retire/s-1/begin", {}, NO, 404),
+        (
+            "retirement begun",
+            "POST",
+            "/api/retire/s-1/begin",
+            {"duration_s": 9},
+            ACTIVE,
+            200,
+        ),
+        ("unknown", "POST", "/api/retire/s-1/begin", {}, UNKNOWN, 404),
         ("too few left", "POST", "/api/retire/s-1/begin", {}, REFUSED, 409),
-        ("not sure", "POST", "/api/retire/s-1/begin", {}, lost(), 503),
-        ("how far", "GET", "/api/retire/s-1/read", b"", ACTIVE, 200),
-        ("nobody's", "GET", "/api/retire/s-1/read", b"", NO, 404),
+        ("retirement unknown", "POST", "/api/retire/s-1/begin", {}, state_error(), 503),
+        ("how far it is", "GET", "/api/retire/s-1/read", b"", ACTIVE, 200),
+        ("no such store", "GET", "/api/retire/s-1/read", b"", UNKNOWN, 404),
         ("no such call", "GET", "/api/other", b"", None, 404),
         ("wrong method", "GET", PUT, b"", None, 405),
     )
@@ -306,21 +331,21 @@
         control_calls.ControlCalls(node).add_routes(app)
         given = call(app, method, path, dumped(body))
         self.assertEqual(given.status, status, (name, given.body))
-        self.assertEqual(len(node.calls.asked), 0 if answer is None else 1, name)
+        self.assertEqual(len(node.calls.messages), 0 if answer is None else 1, name)
 
     def test_announcement_is_translated(self):
         node = Node(DONE)
         app = edge.Edge(options.LimitOptions(), {})
         control_calls.ControlCalls(node).add_routes(app)
         leaving = {**ANNOUNCED, "state": "draining"}
-        call(app, "POST", BEAT, dumped(leaving))
-        upstream = node.calls.asked[0].upstream
+        call(app, "POST", HEARTBEAT, dumped(leaving))
+        upstream = node.calls.messages[0].upstream
         self.assertEqual(upstream.upstream_id, "i-1")
         self.assertEqual((upstream.is_leaving, upstream.sequence), (True, 3))
         self.assertEqual(upstream.versions_by_model, {"m": 4})
 
     @tools.params((ACTIVE, "active"), (FINISHED, "completed"))
-    def test_state_of_an_emptied_store(self, answer, state):
+    def test_state_of_a_retired_store(self, answer, state):
         app = edge.Edge(options.LimitOptions(), {})
         control_calls.ControlCalls(Node(answer)).add_routes(app)
         given = call(app, "GET", "/api/retire/s-1/read", b"")
--- a/tests/test_platform_announcements.py
+++ b/tests/test_platform_announcements.py
@@ -1,4 +1,4 @@
-"""What upstreams say of themselves, and what others write to the same addresses."""
+"""Decoding announcements, departures and reports, also those of other programs."""
 
 import json
 import pathlib
@@ -51,7 +51,7 @@
 
 
 def read(body, announced_id="i-1"):
-    """Return the announced upstream, or None if the announcement names none."""
+    """Return the announced upstream, or None if the announcement is rejected."""
     try:
         return announcements.read_announcement(announced_id, dumped(body))
     except strict.DocumentError:
@@ -59,19 +59,20 @@
 
 
 class Announcements(unittest.TestCase):
-    """An announcement that is not wholly sound names no upstream.
+    """An announcement with any invalid field registers no upstream.
 
-    Taken in part, a text "12" for a number, or true for 1, would register an upstream
-    that nobody started, and a good one of the same name would lose its place.
+    Another program may send requests to the same addresses. If "12" were accepted as a
+    number, or true as 1, its document would register an upstream that does not exist,
+    and would replace a valid one of the same id.
     """
 
     @tools.params(
         ("an engine", ENGINE, None),
         ("a plain service", without(without(ENGINE, "models"), "stage"), None),
-        ("with its start", {**ENGINE, "born": BORN}, BORN),
+        ("with its start time", {**ENGINE, "born": BORN}, BORN),
         ("fields of a later release", {**ENGINE, "more": [{}]}, None),
     )
-    def test_sound(self, name, document, start):
+    def test_valid(self, name, document, start):
         found = read(document)
         self.assertEqual((found.announced_id, found.n_slots), ("i-1", 12), name)
         self.assertEqual(found.started_at_ms, start, name)
@@ -124,7 +125,7 @@
         ("born", -BORN),
         ("born", 10**40),
     )
-    def test_another_type_or_range(self, field, value):
+    def test_wrong_type_or_range(self, field, value):
         self.assertIsNone(read({**ENGINE, field: value}), (field, value))
 
     @tools.params(
@@ -133,20 +134,23 @@
         ("a list", b"[]"),
         ("text", b'"ready"'),
         ("nothing", b"null"),
-        ("bytes of no encoding", b"\xff\xfe\x00{"),
-        ("text of no encoding", dumped(ENGINE).replace(b'"z"', b'"\xff"')),
-        ("nested without end", b'{"models":' * 100_000),
-        ("a number without end", b'{"seq":' + b"9" * 10_000 + b"}"),
+        ("bytes that are not UTF-8", b"\xff\xfe\x00{"),
+        ("string that is not UTF-8", dumped(ENGINE).replace(b'"z"', b'"\xff"')),
+        ("nested too deeply", b'{"models":' * 100_000),
+        ("a number with too many digits", b'{"seq":' + b"9" * 10_000 + b"}"),
     )
     def test_unreadable(self, name, body):
         self.assertIsNone(read(body), name)
 
     @tools.params("", "a b", "a\r\nX: y", "\x00", "a/b", "ä", "i" * 200)
-    def test_names(self, announced_id):
-        """The name goes into a header of each request that the upstream is sent."""
+    def test_invalid_names(self, announced_id):
+        """An id with special characters would break a header.
+
+        The id is sent in a header of each request to the upstream.
+        """
         self.assertIsNone(read(ENGINE, announced_id))
 
-    def test_all_faults_are_named(self):
+    def test_all_faults_are_reported(self):
         body = dumped({**ENGINE, "slots": "x", "seq": None})
         with self.assertRaises(strict.DocumentError) as caught:
             announcements.read_announcement("i-1", body)
@@ -157,21 +161,21 @@
 class Departures(unittest.TestCase):
     @tools.params(
         ("no body", b"", None),
-        ("nothing told", {}, None),
-        ("its start", {"born": BORN}, BORN),
+        ("empty object", {}, None),
+        ("start time", {"born": BORN}, BORN),
     )
-    def test_sound(self, name, body, start):
+    def test_valid(self, name, body, start):
         found = announcements.read_departure("i-1", dumped(body))
         self.assertEqual((found.announced_id, found.started_at_ms), ("i-1", start))
 
     @tools.params([], {"born": "5"}, {"born": None}, b"\xff", b"{")
-    def test_names_none(self, body):
+    def test_invalid(self, body):
         with self.assertRaises(strict.DocumentError):
             announcements.read_departure("i-1", dumped(body))
 
 
 class Reports(unittest.TestCase):
-    def test_sound(self):
+    def test_valid(self):
         found = reports.read_report(dumped({**REPORT, "born": BORN}))
         self.assertEqual(found.versions_by_model, {"m": 4})
         self.assertEqual((found.sequence, found.n_running), (2, 12))
@@ -187,7 +191,7 @@
         ("kv_total", "many"),
         ("born", "5"),
     )
-    def test_another_type(self, field, value):
+    def test_wrong_type(self, field, value):
         with self.assertRaises(strict.DocumentError):
             reports.read_report(dumped({**REPORT, field: value}))
 
@@ -207,8 +211,8 @@
 FIELDS = (*ENGINE, "born")
 
 
-class Drawn(unittest.TestCase):
-    """Whatever is written, it names no upstream, or one whose fields are sound."""
+class ArbitraryAnnouncements(unittest.TestCase):
+    """Any document is rejected or gives an upstream whose fields are valid."""
 
     def check(self, body):
         found = read(body)
@@ -231,6 +235,6 @@
 
     @hypothesis.settings(derandomize=True, max_examples=200, deadline=None)
     @hypothesis.given(strategies.binary(max_size=60), strategies.integers(0, 250))
-    def test_bytes_in_between(self, inserted, at):
+    def test_inserted_bytes(self, inserted, at):
         body = dumped(ENGINE)
         self.check(body[:at] + inserted + body[at + len(inserted) :])
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -1,4 +1,4 @@
-"""The clients' calls and the upstreams' words, translated."""
+"""Translation of client calls, and of headers to and from upstreams."""
 
 import base64
 import json
@@ -41,7 +41,7 @@
 }
 SCORED_ITEM = {**ITEM, "scorer": SCORER}
 BATCH = {"step": 7, "model": "m", "min_version": 6, "desired": 1, "requests": [ITEM]}
-KEPT = result.Ok(batch_messages.Submitted())
+SUBMITTED = result.Ok(batch_messages.Submitted())
 RESULT = batch_model.Result.of("i1", batch_model.ItemState.COMPLETED, b"a\nb", (6, 7))
 PAGE = result.Ok(batch_messages.Page(True, 3, (RESULT,)))
 UNKNOWN_PAGE = result.Ok(batch_messages.Page(False))
@@ -52,7 +52,7 @@
 
 
 class ClientInterface(unittest.TestCase):
-    """Each call's status for good input, bad input, and unreachable stores."""
+    """The status of each call for valid input, invalid input, and without stores."""
 
     def call(self, node, method, path, body, headers=()):
         clients = client_calls.ClientCalls(node)
@@ -62,9 +62,9 @@
         return shared.call(app, method, path, shared.dumped(body), names)
 
     @tools.params(
-        ("kept", "POST", "/b/1", BATCH, KEPT, 202),
-        ("not kept", "POST", "/b/1", BATCH, shared.lost(False), 503),
-        ("kept or not", "POST", "/b/1", BATCH, shared.lost(), 502),
+        ("accepted", "POST", "/b/1", BATCH, SUBMITTED, 202),
+        ("not accepted", "POST", "/b/1", BATCH, shared.state_error(False), 503),
+        ("outcome unknown", "POST", "/b/1", BATCH, shared.state_error(), 502),
         ("not JSON", "POST", "/b/1", b"{", None, 400),
         ("no items", "POST", "/b/1", {**BATCH, "requests": []}, None, 400),
         ("items are text", "POST", "/b/1", {**BATCH, "requests": "x"}, None, 400),
@@ -102,14 +102,35 @@
         ),
         ("read", "GET", "/api/lots/b1?after=2", b"", PAGE, 200),
         ("no such batch", "GET", "/api/lots/b1", b"", UNKNOWN_PAGE, 404),
-        ("not sure", "GET", "/api/lots/b1", b"", shared.lost(), 503),
+        (
+            "no answer of the stores",
+            "GET",
+            "/api/lots/b1",
+            b"",
+            shared.state_error(),
+            503,
+        ),
         ("not a position", "GET", "/api/lots/b1?after=x", b"", None, 400),
         ("body", "GET", "/api/items/b1?id=i1", b"", BODY, 200),
         ("no body", "GET", "/api/items/b1?id=i1", b"", NO_BODY, 404),
-        ("body, not sure", "GET", "/api/items/b1?id=i1", b"", shared.lost(), 503),
+        (
+            "body, no answer of the stores",
+            "GET",
+            "/api/items/b1?id=i1",
+            b"",
+            shared.state_error(),
+            503,
+        ),
         ("ended", "DELETE", "/api/lots/b1", b"", ENDED, 200),
         ("nothing to end", "DELETE", "/api/lots/b1", b"", NOT_ENDED, 404),
-        ("ended or not", "DELETE", "/api/lots/b1", b"", shared.lost(), 503),
+        (
+            "end, outcome unknown",
+            "DELETE",
+            "/api/lots/b1",
+            b"",
+            shared.state_error(),
+            503,
+        ),
         ("relayed", "POST", "/a/1", b"x", None, 200),
         ("no route", "POST", "/c/1", b"x", None, 404),
     )
@@ -117,79 +138,87 @@
         node = shared.Node(answer)
         given = self.call(node, method, path, body)
         self.assertEqual(given.status, status, (name, given.body))
-        self.assertEqual(len(node.calls.asked), 0 if answer is None else 1, name)
+        self.assertEqual(len(node.calls.messages), 0 if answer is None else 1, name)
 
     @tools.params("-1", "-3", "-0.5", "1.5", "1e30", "99999999999999999999")
-    def test_position_that_is_none(self, position):
-        """A reader gets results twice.
+    def test_invalid_position(self, position):
+        """A reader that asks from a negative position would read results twice.
 
-        It asks from a negative position on. It is given the results from the first one
-        on, and told that the next position is its own plus their number: -1 and three
-        results make 2, so the third comes again.
+        If -1 were read as the start, the answer would have the results from the first
+        one on, but its `next_token` would be counted from -1. After three results it
+        would be 2, so the reader would get the third one again.
         """
         node = shared.Node(PAGE)
         given = self.call(node, "GET", f"/api/lots/b1?after={position}", b"")
         self.assertEqual(given.status, 400, (position, given.body))
-        self.assertEqual(node.calls.asked, [], position)
+        self.assertEqual(node.calls.messages, [], position)
 
     def test_batch_is_translated(self):
-        node = shared.Node(KEPT)
+        node = shared.Node(SUBMITTED)
         self.call(node, "POST", "/b/1", BATCH)
-        kept = batch_model.unpack_batch(node.calls.asked[0].data)
-        self.assertEqual((kept.batch_id, kept.host), ("b1", "h.example"))
-        self.assertEqual((kept.step, kept.min_version), (7, 6))
-        item = kept.items[0]
+        batch = batch_model.unpack_batch(node.calls.messages[0].data)
+        self.assertEqual((batch.batch_id, batch.host), ("b1", "h.example"))
+        self.assertEqual((batch.step, batch.min_version), (7, 6))
+        item = batch.items[0]
         self.assertEqual((item.body, item.target), (b"bytes", "/b/3/x"))
         self.assertEqual(item.n_expected_tokens, 660)
 
     def test_scoring_request_is_translated(self):
-        node = shared.Node(KEPT)
+        node = shared.Node(SUBMITTED)
         self.call(node, "POST", "/b/1", {**BATCH, "requests": [SCORED_ITEM]})
-        kept = batch_model.unpack_batch(node.calls.asked[0].data)
+        batch = batch_model.unpack_batch(node.calls.messages[0].data)
         expected = batch_model.ScoringRequest("s1", "h.example", "/a/x?q=%41", b"mark")
-        self.assertEqual(kept.items[0].scoring, expected)
+        self.assertEqual(batch.items[0].scoring, expected)
 
     @tools.params(
-        ("not an object", "x", "requests[1].scorer: not an object"),
-        ("no id", shared.without(SCORER, "id"), "requests[1].scorer.id: not a text"),
+        ("not an object", "x", "requests[1].scorer: must be an object"),
+        (
+            "no id",
+            shared.without(SCORER, "id"),
+            "requests[1].scorer.id: must be a non-empty string",
+        ),
         (
             "no host",
             shared.without(SCORER, "host"),
-            "requests[1].scorer.host: not a text",
+            "requests[1].scorer.host: must be a non-empty string",
+        ),
+        (
+            "id is a number",
+            {**SCORER, "id": 7},
+            "requests[1].scorer.id: must be a non-empty string",
         ),
-        ("id is a number", {**SCORER, "id": 7}, "requests[1].scorer.id: not a text"),
         (
             "path without a slash",
             {**SCORER, "path": "a/x"},
-            "requests[1].scorer.path: does not begin with a slash",
+            "requests[1].scorer.path: must begin with a slash",
         ),
         (
-            "path with a line end",
+            "path with a line break",
             {**SCORER, "path": "/a HTTP/1.1\r\nX: y"},
-            "requests[1].scorer.path: has blanks or control characters",
+            "requests[1].scorer.path: must not have blanks or control characters",
         ),
-        ("body", {**SCORER, "body": "*"}, "requests[1].scorer.body: not base64"),
+        ("body", {**SCORER, "body": "*"}, "requests[1].scorer.body: must be base64"),
         (
             "body is null",
             {**SCORER, "body": None},
-            "requests[1].scorer.body: not base64",
+            "requests[1].scorer.body: must be base64",
         ),
-        ("twice the same id", SCORER, "scorer: the same id twice"),
+        ("twice the same id", SCORER, "scorer: two entries have the same id"),
     )
     def test_unreadable_scoring_request(self, name, scorer, expected):
-        """One of two items names a scoring request that cannot be made.
+        """One of two items has a scoring request that cannot be sent.
 
-        Kept, the batch could never be whole; the submitter is told where and why, and
-        nothing of the batch is kept.
+        If the batch were stored, it could never be completed. So it is rejected as a
+        whole, and the error says which field is wrong and why.
         """
         node = shared.Node()
         items = [SCORED_ITEM, {**ITEM, "id": "i2", "scorer": scorer}]
         given = self.call(node, "POST", "/b/1", {**BATCH, "requests": items})
         self.assertEqual(given.status, 400, name)
         self.assertIn(expected, given.body.decode())
-        self.assertEqual(node.calls.asked, [])
+        self.assertEqual(node.calls.messages, [])
 
-    def test_headers_that_would_end_a_line(self):
+    def test_header_with_a_line_break(self):
         node = shared.Node()
         item = {**ITEM, "headers": {"X-A": "b\r\nX-C: d"}}
         given = self.call(node, "POST", "/b/1", {**BATCH, "requests": [item]})
@@ -208,7 +237,7 @@
         expected = {"total": 3, "next_token": 3, "results": [entry]}
         self.assertEqual(json.loads(given.body), expected)
 
-    def test_request_is_passed_on_as_it_came(self):
+    def test_request_is_forwarded_unchanged(self):
         node = shared.Node()
         headers = {
             "X-Deadline-Ms": "1500",
@@ -239,8 +268,8 @@
         self.assertEqual(headers.get("Retry-After"), retry_after)
 
 
-class UpstreamWords(unittest.TestCase):
-    """What is put on a request, and what an answer's headers say."""
+class UpstreamHeaders(unittest.TestCase):
+    """Headers set on a request, and headers read from an answer."""
 
     PROTOCOL = upstreams.PlatformProtocol()
 
--- a/tests/test_soak_ledger.py
+++ b/tests/test_soak_ledger.py
@@ -15,7 +15,7 @@
 
 
 def listed(item_id="i", text="", versions=(2,), score=""):
-    return standins.Listed(item_id, True, text, versions, score)
+    return standins.BatchResult(item_id, True, text, versions, score)
 
 
 class Found(unittest.TestCase):
@@ -213,8 +213,8 @@
         self.assertFalse(self.ledger.must_finish("b"))
 
     def test_two_holders_of_one_number(self):
-        order = standins.OrderGiven("m", 2, "s0", 7, 0)
-        other = standins.OrderGiven("m", 3, "s1", 7, 1)
+        order = standins.ReceivedOrder("m", 2, "s0", 7, 0)
+        other = standins.ReceivedOrder("m", 3, "s1", 7, 1)
         self.ledger.ordered("e", order)
         self.assertEqual(self.n_findings(), 0)
         self.ledger.ordered("e", other)
