--- a/bilberrydrum_cli/__init__.py
+++ b/bilberrydrum_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators command-line tool."""
+"""The operators' command-line tool."""
--- a/bilberrydrum_cli/arguments.py
+++ b/bilberrydrum_cli/arguments.py
@@ -1,7 +1,7 @@
 """The command line: global options before the noun, then noun, verb and arguments.
 
-The parser is built from the classes in `verbs`, so that a verb's arguments stand in
-one place.
+The parser is built from the classes in `verbs`, so that the arguments of a verb are
+defined in one place.
 """
 
 import argparse
@@ -17,21 +17,21 @@
 
 GATEWAYS_VARIABLE: Final = "BILBERRYDRUM_GATEWAYS"
 DEFAULT_GATEWAY: Final = "http://127.0.0.1:8080"
-# Three gateways get time enough each to tell that the state group does not answer.
+# Long enough for each of three gateways to report that the state group does not answer.
 DEFAULT_TIMEOUT_SECONDS: Final = 20.0
 _VERB_CLASS: Final = "verb_class"
 
 
 @attrs.frozen
 class GlobalOptions:
-    """Options that hold for every verb."""
+    """Options that apply to every verb."""
 
     # Base URLs of gateways, tried in this order.
     gateways: tuple[str, ...]
     token_file: str
     operator: str
     output: str
-    # Time to go on trying, in seconds.
+    # Time after which no gateway is tried any more, in seconds.
     timeout: float
 
 
@@ -92,7 +92,7 @@
     Raises
     ------
     argparse.ArgumentTypeError
-        If `text` is no such URL.
+        If `text` is not such a URL.
     """
     url = text if "://" in text else f"http://{text}"
     try:
@@ -109,7 +109,7 @@
 
 
 def _operator(text: str) -> str:
-    # The name goes into a header, which takes no line breaks.
+    # The name is sent in a header, which must not contain line breaks.
     if not (text.isascii() and text.isprintable()) or " " in text:
         raise argparse.ArgumentTypeError(messages.BAD_OPERATOR.format(text=text))
     return text
--- a/bilberrydrum_cli/client.py
+++ b/bilberrydrum_cli/client.py
@@ -1,8 +1,9 @@
-"""HTTP requests to the gateways' operator interface, with another gateway in reserve.
+"""HTTP requests to the operator interface of the gateways, with failover.
 
-A gateway that is dead, frozen or refuses for now (429, 503) is left for the next one.
-That holds for changes too: a bundle is known by its digest and the other changes have
-the same effect when sent again, so a change whose answer was lost may be resent.
+If a gateway does not answer or refuses temporarily (429, 503), the next one is tried.
+This applies to changes too: all of them are idempotent, as a bundle is identified by
+its digest and the other changes have the same effect when sent again. So a change whose
+answer was lost may be sent again.
 """
 
 import json
@@ -18,18 +19,18 @@
 
 JSON_TYPE: Final = "application/json"
 BYTES_TYPE: Final = "application/octet-stream"
-_LONGEST_CONNECT_SECONDS: Final = 2.0
-# Statuses by which a gateway refuses for now and another one may not.
+_MAX_CONNECT_SECONDS: Final = 2.0
+# Statuses of temporary refusals; another gateway may accept the request.
 _BUSY_STATUSES: Final = frozenset({429, 503})
 
 
 @attrs.frozen
 class Attempt:
-    """One attempt that got no answer that counts."""
+    """A failed attempt: it got no answer, or a temporary refusal."""
 
     gateway: str
     detail: str
-    # False only if the request never reached the gateway or the gateway says so.
+    # False only if the request was not sent, or the gateway says that it did not run.
     may_have_run: bool
 
 
@@ -40,7 +41,7 @@
     seconds: float
     # The last attempt at each gateway, by its URL.
     attempts_by_gateway: dict[str, Attempt]
-    # Whether a change may have been made; False for a request that changes nothing.
+    # Whether a change may have been made; always False for a query.
     may_have_run: bool
 
 
@@ -50,19 +51,19 @@
 
     gateway: str
     status: int
-    # The problem document; empty if the answer was none.
+    # The problem document; empty if the answer did not have one.
     problem: dict[str, Any]
 
 
 @attrs.frozen
-class Senseless:
-    """A gateway answered with something that is not of this interface."""
+class InvalidAnswer:
+    """A gateway gave an answer that this interface does not define."""
 
     gateway: str
     status: int
 
 
-Failure = Unavailable | Refused | Senseless
+Failure = Unavailable | Refused | InvalidAnswer
 
 
 @attrs.frozen
@@ -70,7 +71,7 @@
     """One request."""
 
     method: str
-    # Path and query, quoted.
+    # Path and query, percent-encoded.
     target: str
     body: bytes = b""
     content_type: str = JSON_TYPE
@@ -82,7 +83,7 @@
 
 
 class Client:
-    """Sends requests to whichever gateway answers."""
+    """Sends requests to the first gateway that answers."""
 
     def __init__(
         self,
@@ -101,7 +102,8 @@
         self._headers = {"X-Operator": operator, "Accept": JSON_TYPE}
         if token:
             self._headers["Authorization"] = f"Bearer {token}"
-        # Redirects and retries are off: which gateway is asked is decided here.
+        # Redirects and retries of urllib3 are disabled: this class decides which
+        # gateway is tried.
         self._http = http or urllib3.PoolManager(retries=False)
 
     def json(
@@ -118,14 +120,14 @@
     def call(
         self, call: Call, timeout: float | None = None
     ) -> result.Result["Answer", Failure]:
-        """Send a request until a gateway answers or the time is up.
+        """Send a request until a gateway answers or the timeout expires.
 
         Parameters
         ----------
         call : Call
             The request.
         timeout : float or None
-            Seconds to go on trying, if less than the client's.
+            Timeout in seconds, if it is shorter than that of the client.
         """
         seconds = min(self._timeout, timeout or self._timeout)
         attempts_by_gateway: dict[str, Attempt] = {}
@@ -142,11 +144,11 @@
             outcome = self._attempt(call, effect)
             if isinstance(outcome, Answer):
                 self._rotation.step(self._clock(), rotation.Answered())
-                return _judge(outcome)
+                return _classify(outcome)
             attempt, retry_after_seconds = outcome
             attempts_by_gateway[attempt.gateway] = attempt
             may_have_run |= call.is_change and attempt.may_have_run
-            event = rotation.Missed(retry_after_seconds)
+            event = rotation.Failed(retry_after_seconds)
 
     def _attempt(
         self, call: Call, effect: rotation.Try
@@ -159,7 +161,7 @@
                 headers={**self._headers, "Content-Type": call.content_type},
                 timeout=urllib3.Timeout(
                     total=effect.timeout_seconds,
-                    connect=min(effect.timeout_seconds, _LONGEST_CONNECT_SECONDS),
+                    connect=min(effect.timeout_seconds, _MAX_CONNECT_SECONDS),
                 ),
                 redirect=False,
             )
@@ -185,7 +187,7 @@
     body: bytes
 
     def problem(self) -> dict[str, Any]:
-        """Return the problem document, or an empty map if the body is none."""
+        """Return the problem document, or an empty dict if the body is not one."""
         try:
             value = json.loads(self.body)
         except (ValueError, RecursionError):
@@ -193,19 +195,19 @@
         return value if isinstance(value, dict) else {}
 
 
-def _judge(answer: Answer) -> result.Result[Answer, Failure]:
+def _classify(answer: Answer) -> result.Result[Answer, Failure]:
     if 200 <= answer.status < 300:
         return result.Ok(answer)
     if 400 <= answer.status < 600:
         return result.Err(Refused(answer.gateway, answer.status, answer.problem()))
-    return result.Err(Senseless(answer.gateway, answer.status))
+    return result.Err(InvalidAnswer(answer.gateway, answer.status))
 
 
 def _parse(answer: Answer) -> result.Result[Any, Failure]:
     try:
         return result.Ok(json.loads(answer.body or b"{}"))
     except (ValueError, RecursionError):
-        return result.Err(Senseless(answer.gateway, answer.status))
+        return result.Err(InvalidAnswer(answer.gateway, answer.status))
 
 
 def _failed_attempt(gateway: str, error: Exception) -> Attempt:
@@ -218,5 +220,5 @@
 
 
 def _seconds(text: str) -> float:
-    """Return the seconds of a Retry-After header; 0 for a date or nonsense."""
+    """Return the seconds in a Retry-After header; 0 for a date or an invalid value."""
     return float(text) if text.isascii() and text.isdigit() and len(text) < 10 else 0.0
--- a/bilberrydrum_cli/codes.py
+++ b/bilberrydrum_cli/codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of `bilberrydrum`. Scripts rely on them: a code never changes meaning."""
+"""Exit codes of `bilberrydrum`. Scripts rely on them, so their meanings are fixed."""
 
 from typing import Final
 
@@ -13,13 +13,13 @@
 UNAUTHORIZED: Final = 4
 # There is no such bundle, upstream, trainer, sample or member.
 NOT_FOUND: Final = 5
-# No gateway answered in time; a change may have been made all the same.
+# No gateway answered in time; a change may have been made nevertheless.
 UNAVAILABLE: Final = 6
-# The roll was accepted, and was not in force everywhere in the time given.
+# The roll was accepted, but the bundle was not in force everywhere in the given time.
 NOT_IN_FORCE: Final = 7
-# A gateway gave an answer that makes no sense, or failed.
+# A gateway failed or gave an invalid answer.
 FAILED: Final = 8
 # A local file could not be read or written.
 FILE: Final = 9
-# Ended from the keyboard.
+# Interrupted from the keyboard.
 INTERRUPTED: Final = 130
--- a/bilberrydrum_cli/commands.py
+++ b/bilberrydrum_cli/commands.py
@@ -1,7 +1,7 @@
 """Verbs that change something.
 
-Each may be sent again after a lost answer: a bundle is known by its digest, and the
-others have the same effect the second time.
+Each change may be sent again after a lost answer: a bundle is identified by its digest,
+and the other changes have the same effect the second time.
 """
 
 from typing import Any
--- a/bilberrydrum_cli/local.py
+++ b/bilberrydrum_cli/local.py
@@ -1,4 +1,4 @@
-"""Verbs that work on files of this host and ask no gateway."""
+"""Verbs that work on files of this host and send no request."""
 
 import os
 
@@ -17,7 +17,7 @@
         return current.report(outcome.err_value)
     if current.form == output.FORM_JSON:
         return current.show({"findings": []})
-    current.say(messages.NO_FINDINGS.format(path=verb.file))
+    current.print_message(messages.NO_FINDINGS.format(path=verb.file))
     return codes.OK
 
 
@@ -27,7 +27,7 @@
     outcome = keys.write(verb.key_file, pair)
     if isinstance(outcome, result.Err):
         return current.report([outcome.err_value])
-    # The secret key is in the file alone: a terminal's output is often kept.
+    # The secret key is written to the file only, as terminal output is often stored.
     return current.show({"key_file": verb.key_file, "public": pair.public})
 
 
@@ -52,7 +52,7 @@
 
 
 def read_snapshot(path: str) -> result.Result[bytes, findings.Finding]:
-    """Return the snapshot in the file at `path`, or why it is of no use."""
+    """Return the snapshot in the file at `path`, or a finding if it is not usable."""
     try:
         with open(path, "rb") as file:
             data = file.read()
@@ -63,7 +63,7 @@
 
 
 def check_snapshot(path: str, data: bytes) -> result.Result[bytes, findings.Finding]:
-    """Return `data` if it is a whole snapshot, else a finding in `path`."""
+    """Return `data` if it is a complete snapshot, else a finding for `path`."""
     try:
         snapshot.read(data)
     except snapshot.SnapshotError as error:
@@ -72,16 +72,16 @@
 
 
 def write_new(path: str, data: bytes) -> result.Result[None, findings.Finding]:
-    """Write a new file that lasts; leave nothing behind if that fails."""
+    """Write and sync a new file; remove it if that fails."""
     try:
-        # An older back-up is not replaced by what may be a worse one.
+        # Mode `x`: an existing back-up is not overwritten, as the new one may be worse.
         with open(path, "xb") as file:
             try:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
             except OSError:
-                # Half a back-up looks like one until it is needed.
+                # A partial file would look like a back-up until somebody restored it.
                 os.unlink(path)
                 raise
     except OSError as error:
--- a/bilberrydrum_cli/main.py
+++ b/bilberrydrum_cli/main.py
@@ -23,21 +23,22 @@
 
 
 def main() -> None:
-    """Run the tool and exit with its code."""
+    """Run the tool and exit with its exit code."""
     try:
         code = run(sys.argv[1:], os.environ)
         sys.stdout.flush()
     except KeyboardInterrupt:
         code = codes.INTERRUPTED
     except BrokenPipeError:
-        # The reader of the output has gone; Python would print an error at exit.
+        # The reader has closed the pipe. Standard output is redirected, because Python
+        # would print an error when it flushes the stream at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         code = codes.FAILED
     sys.exit(code)
 
 
 def run(words: Sequence[str], environment: Mapping[str, str]) -> int:
-    """Parse the command line, do what it asks, and return the exit code."""
+    """Parse the command line, run the verb, and return the exit code."""
     invocation = arguments.parse(words, environment)
     options = invocation.options
     token = tokens.read(options.token_file) if options.token_file else result.Ok("")
--- a/bilberrydrum_cli/messages.py
+++ b/bilberrydrum_cli/messages.py
@@ -1,4 +1,4 @@
-"""Texts that `bilberrydrum` prints, apart from what gateways answer."""
+"""Texts that `bilberrydrum` prints, except for the answers of gateways."""
 
 from typing import Final
 
@@ -11,13 +11,15 @@
 )
 
 HELP_GATEWAY: Final = (
-    "URL of a gateway; repeat it to name more, which are used when one is dead"
+    "URL of a gateway; repeat it to give more, which are tried if one does not answer"
     " (default: BILBERRYDRUM_GATEWAYS, separated by commas or blanks, or {default})"
 )
 HELP_TOKEN_FILE: Final = "file with the operators' token"
 HELP_OPERATOR: Final = "name that changes are recorded under (default: the user's name)"
-HELP_OUTPUT: Final = "form of the answer on standard output (default: table)"
-HELP_TIMEOUT: Final = "seconds to go on trying gateways (default: {default:g})"
+HELP_OUTPUT: Final = "format of the answer on standard output (default: table)"
+HELP_TIMEOUT: Final = (
+    "seconds after which no gateway is tried any more (default: {default:g})"
+)
 
 BAD_GATEWAY: Final = "gateway must be http://IP:port or https://IP:port, found {text!r}"
 BAD_OPERATOR: Final = "operator must be printable ASCII without blanks, found {text!r}"
--- a/bilberrydrum_cli/output.py
+++ b/bilberrydrum_cli/output.py
@@ -1,4 +1,4 @@
-"""Forms of an answer on standard output: JSON, or tables for people."""
+"""Output formats of an answer: JSON, or tables for people."""
 
 import json
 from typing import Any, Final
@@ -11,7 +11,7 @@
 
 
 def render(value: Any, form: str) -> str:
-    """Return `value`, read from JSON, as text in `form`, without a last newline."""
+    """Return `value`, read from JSON, as text in `form`, without a final newline."""
     if form == FORM_JSON:
         return json.dumps(value, indent=2)
     return "\n".join(_lines(value))
@@ -34,14 +34,14 @@
 
 
 def _is_rows(value: Any) -> bool:
-    """Tell whether `value` is a list of maps; an empty list is one of no rows."""
+    """Return whether `value` is a list of rows; an empty list has no rows."""
     return isinstance(value, list) and all(isinstance(item, dict) for item in value)
 
 
 def _table(rows: list[dict[str, Any]]) -> list[str]:
     if not rows:
         return ["(none)"]
-    # Rows may lack columns; those keep the order in which they are first seen.
+    # Rows may lack columns. Columns are in the order in which they first occur.
     names = list(dict.fromkeys(name for row in rows for name in row))
     cells = [[_cell(row.get(name, "")) for name in names] for row in rows]
     return _align([[name.upper() for name in names], *cells])
@@ -59,6 +59,6 @@
 
 def _cell(value: Any) -> str:
     if isinstance(value, str):
-        # A control character in a name must not drive the operator's terminal.
+        # Escaped, so that a control character in a name does not control the terminal.
         return "".join(c if c.isprintable() else repr(c)[1:-1] for c in value)
     return json.dumps(value)
--- a/bilberrydrum_cli/queries.py
+++ b/bilberrydrum_cli/queries.py
@@ -1,4 +1,4 @@
-"""Verbs that only ask."""
+"""Verbs that change nothing."""
 
 import difflib
 import urllib.parse
@@ -43,7 +43,8 @@
 def _(verb: verbs.ShowBundle, current: session.Session) -> int:
     outcome = current.gateways.json("GET", f"/v1/bundles/{verb.version}")
     if isinstance(outcome, result.Ok) and current.form == output.FORM_TABLE:
-        # What is printed can be edited and submitted as the next version.
+        # Only the content, so that the output can be edited and submitted as the next
+        # version.
         current.out.write(str(outcome.ok_value.get("content", "")))
         return codes.OK
     return _answer(current, outcome)
@@ -101,7 +102,8 @@
 
 @verbs.run.register
 def _(verb: verbs.TraceSample, current: session.Session) -> int:
-    # A sample id has slashes between trainer, group and slot; they are its segments.
+    # A sample id has slashes between trainer, group and slot; they separate the
+    # segments of the path.
     target = urllib.parse.quote(verb.sample_id, safe="/")
     return _get(current, f"/v1/samples/{target}")
 
@@ -126,7 +128,7 @@
         return current.fail(outcome.err_value)
     data = outcome.ok_value.body
     saved = local.check_snapshot(verb.file, data).and_then(
-        lambda whole: local.write_new(verb.file, whole)
+        lambda complete: local.write_new(verb.file, complete)
     )
     if isinstance(saved, result.Err):
         return current.report([saved.err_value])
@@ -135,7 +137,7 @@
 
 
 def quote(text: str) -> str:
-    """Return `text` as one segment of a path."""
+    """Return `text` percent-encoded as one segment of a path."""
     return urllib.parse.quote(text, safe="")
 
 
@@ -149,7 +151,7 @@
     key: str,
     row_of: Callable[[dict[str, Any]], dict[str, Any]],
 ) -> int:
-    """Show what `target` lists under `key`, in a table a row for each."""
+    """Show the list under `key` in the answer; as a table, one row for each entry."""
     outcome = current.gateways.json("GET", target)
     if isinstance(outcome, result.Ok) and current.form == output.FORM_TABLE:
         listed = outcome.ok_value.get(key, [])
--- a/bilberrydrum_cli/rollout.py
+++ b/bilberrydrum_cli/rollout.py
@@ -14,8 +14,8 @@
 def wait(version: int, seconds: float, current: session.Session) -> int:
     """Poll the bundle's status for at most `seconds`; return an exit code.
 
-    Gateways that do not answer for a while do not end the wait: the roll goes on
-    without this tool.
+    If no gateway answers for some time, polling continues: the roll does not depend on
+    this tool.
     """
     begin = current.clock()
     progress = _Progress(current)
@@ -32,7 +32,7 @@
                 return current.show(status)
             if status.get("state") == SUPERSEDED:
                 progress.end()
-                current.say(messages.ROLL_SUPERSEDED.format(version=version))
+                current.print_message(messages.ROLL_SUPERSEDED.format(version=version))
                 current.show(status)
                 return codes.NOT_IN_FORCE
         elif not isinstance(outcome.err_value, client.Unavailable):
@@ -40,7 +40,9 @@
             return current.fail(outcome.err_value)
         if current.clock() - begin >= seconds:
             progress.end()
-            current.say(messages.ROLL_LATE.format(version=version, seconds=seconds))
+            current.print_message(
+                messages.ROLL_LATE.format(version=version, seconds=seconds)
+            )
             if isinstance(outcome, result.Err):
                 return current.fail(outcome.err_value)
             current.show(outcome.ok_value)
@@ -49,7 +51,7 @@
 
 
 class _Progress:
-    """One line that is written over on a terminal; elsewhere, a line per change."""
+    """A line that is overwritten on a terminal; otherwise, one line for each change."""
 
     def __init__(self, current: session.Session) -> None:
         self._err = current.err
@@ -58,7 +60,7 @@
         self._last = ""
 
     def show(self, line: str) -> None:
-        """Show the line for the state of now."""
+        """Show the line for the current state."""
         if self._is_terminal:
             self._err.write("\r" + line.ljust(self._width))
             self._width = len(line)
@@ -68,7 +70,7 @@
         self._err.flush()
 
     def end(self) -> None:
-        """End the line, so that others may follow."""
+        """End the line, so that other output may follow."""
         if self._is_terminal and self._last:
             self._err.write("\n")
 
--- a/bilberrydrum_cli/rows.py
+++ b/bilberrydrum_cli/rows.py
@@ -1,4 +1,4 @@
-"""Rows of tables that fit on a terminal; JSON output has everything."""
+"""Rows of tables with the fields that fit on a terminal; JSON output has all."""
 
 from typing import Any
 
--- a/bilberrydrum_cli/session.py
+++ b/bilberrydrum_cli/session.py
@@ -1,4 +1,4 @@
-"""What a verb works with: the gateways, the two output streams, and the clock."""
+"""What a verb uses: the gateways, the two output streams, and the clock."""
 
 import functools
 import json
@@ -37,30 +37,31 @@
         print(output.render(value, self.form), file=self.out)
         return codes.OK
 
-    def say(self, text: str) -> None:
-        """Print a remark for people."""
+    def print_message(self, text: str) -> None:
+        """Print a message for people to standard error."""
         print(text, file=self.err)
 
     def fail(self, failure: client.Failure) -> int:
         """Print a failure and return its exit code.
 
-        With JSON output the failure is printed there too, so that a program finds one
-        JSON value whatever the outcome.
+        With JSON output, the failure is also printed to standard output, so that a
+        program finds one JSON value there for every outcome.
         """
         if self.form == output.FORM_JSON:
             self.show(_document(failure))
         for line in _lines(failure):
-            self.say(line)
+            self.print_message(line)
         return _code(failure)
 
     def report(self, found: list[findings.Finding]) -> int:
         """Print findings and return their exit code.
 
-        A finding without a place is about the file itself, which could not be used.
+        A finding without a line is about the file itself, which could not be read or
+        written.
         """
         if self.form == output.FORM_JSON:
             self.show({"findings": [attrs.asdict(finding) for finding in found]})
-        self.say(findings.report(found))
+        self.print_message(findings.report(found))
         if any(finding.line for finding in found):
             return codes.FINDINGS
         return codes.FILE
@@ -84,7 +85,7 @@
 
 
 @_code.register
-def _(failure: client.Senseless) -> int:
+def _(failure: client.InvalidAnswer) -> int:
     return codes.FAILED
 
 
@@ -124,7 +125,7 @@
 
 
 @_lines.register
-def _(failure: client.Senseless) -> list[str]:
+def _(failure: client.InvalidAnswer) -> list[str]:
     text = messages.NOT_JSON.format(gateway=failure.gateway, status=failure.status)
     return [messages.ERROR.format(text=text)]
 
--- a/bilberrydrum_cli/verbs.py
+++ b/bilberrydrum_cli/verbs.py
@@ -1,7 +1,7 @@
-"""What an operator can ask for: one class per noun and verb.
+"""The commands of an operator: one class for each noun and verb.
 
-A class's fields are the arguments on the command line; `arguments` builds the parser
-from them, and `run` does the work of the class with `singledispatch`.
+The fields of a class are the arguments on the command line; `arguments` builds the
+parser from them. `run` dispatches on the class (`functools.singledispatch`).
 """
 
 import argparse
@@ -21,12 +21,12 @@
 
 @functools.singledispatch
 def run(verb: object, current: session.Session) -> int:
-    """Do what `verb` asks for and return the exit code."""
+    """Run `verb` and return the exit code."""
     raise TypeError(f"no run function for {type(verb).__name__}")
 
 
 def seconds(text: str) -> float:
-    """Return a time above 0 from the command line."""
+    """Parse a time above 0, in seconds."""
     try:
         value = float(text)
     except ValueError:
@@ -37,7 +37,7 @@
 
 
 def version(text: str) -> int:
-    """Return a bundle's version from the command line."""
+    """Parse the version of a bundle."""
     is_number = text.isascii() and text.isdigit() and len(text) <= _MAX_VERSION_DIGITS
     if not is_number or int(text) == 0:
         raise argparse.ArgumentTypeError(messages.BAD_VERSION.format(text=text))
@@ -45,7 +45,7 @@
 
 
 def digest(text: str) -> str:
-    """Return a content digest from the command line."""
+    """Parse a content digest in hexadecimal digits."""
     if not text or not set(text) <= _DIGEST_CHARACTERS:
         raise argparse.ArgumentTypeError(messages.BAD_DIGEST.format(text=text))
     return text.lower()
@@ -57,7 +57,7 @@
     convert: Callable[[str], Any] = str,
     default: Any = attrs.NOTHING,
 ) -> Any:
-    """Return a field that is an argument, or with `flags` an option."""
+    """Return a field for an argument, or for an option if `flags` are given."""
     metadata = {"help": help_text, "flags": flags, "convert": convert}
     return attrs.field(default=default, metadata=metadata)
 
@@ -72,7 +72,7 @@
 
 @attrs.frozen
 class CheckBundle:
-    """Check a bundle as a whole, without submitting it."""
+    """Run all checks on a bundle without submitting it."""
 
     file: str = _argument("bundle in YAML")
 
@@ -98,9 +98,11 @@
 
     version: int = _version()
     digest: str = _digest()
-    wait: bool = _argument("wait until it is", "--wait", convert=bool, default=False)
+    wait: bool = _argument(
+        "wait until it is in force", "--wait", convert=bool, default=False
+    )
     wait_seconds: float = _argument(
-        f"longest time to wait (default: {DEFAULT_WAIT_SECONDS:g})",
+        f"maximum time to wait in seconds (default: {DEFAULT_WAIT_SECONDS:g})",
         "--wait-seconds",
         convert=seconds,
         default=DEFAULT_WAIT_SECONDS,
@@ -109,7 +111,7 @@
 
 @attrs.frozen
 class BundleStatus:
-    """Show how far a bundle has got."""
+    """Show the state of a bundle and how many gateways have confirmed it."""
 
     version: int = _version()
 
@@ -141,29 +143,31 @@
 
 @attrs.frozen
 class DrainUpstream:
-    """Give an upstream no new work."""
+    """Stop sending new requests to an upstream."""
 
     upstream_id: str = _argument("id of the upstream")
 
 
 @attrs.frozen
 class UndrainUpstream:
-    """Let a drained upstream have new work again."""
+    """Send new requests to a drained upstream again."""
 
     upstream_id: str = _argument("id of the upstream")
 
 
 @attrs.frozen
 class SetRole:
-    """Have an engine ordered into a role."""
+    """Request that an engine takes on a role."""
 
     upstream_id: str = _argument("id of the engine")
-    role: str = _argument("the role, as its engine calls it; empty: none any more")
+    role: str = _argument(
+        "name of the role, as the engine defines it; empty to withdraw the request"
+    )
 
 
 @attrs.frozen
 class WeightStatus:
-    """Show how far the engines are with the newest weights."""
+    """Show which weights the engines have loaded, and the newest versions."""
 
 
 @attrs.frozen
@@ -180,7 +184,7 @@
 
 @attrs.frozen
 class TraceSample:
-    """Show which weights, engine and attempt made a sample."""
+    """Show which weights, engine and attempt generated a sample."""
 
     sample_id: str = _argument("id of the sample, as in the trainer's batch")
 
@@ -219,19 +223,19 @@
 
 @attrs.frozen
 class InspectSnapshot:
-    """Check a saved state and show what is in it; asks no gateway."""
+    """Check a saved state and show its contents; sends no request."""
 
     file: str = _argument("file written by save")
 
 
 @attrs.frozen
 class ListQuarantine:
-    """List the requests that upstreams ended under."""
+    """List the requests during which upstreams crashed."""
 
 
 @attrs.frozen
 class LiftQuarantine:
-    """Have a request served again that is held to end upstreams."""
+    """Release a request that was quarantined as crash-causing."""
 
     fingerprint: str = _argument("fingerprint of the request", convert=digest)
 
@@ -245,19 +249,19 @@
 
 @attrs.frozen
 class CheckSettings:
-    """Check a daemon's settings file; asks no gateway."""
+    """Check the settings file of a daemon; sends no request."""
 
     file: str = _argument("settings in YAML")
 
 
 @attrs.frozen
 class GenerateKeys:
-    """Write new CURVE keys for one process; asks no gateway."""
+    """Write new CURVE keys for one process; sends no request."""
 
     key_file: str = _argument("file to write; it must not exist", "--key-file")
 
 
-# Words on the command line, and the class they stand for.
+# The class of a verb by its words on the command line.
 VERBS_BY_WORDS: Final[dict[tuple[str, ...], type[Any]]] = {
     ("bundle", "check"): CheckBundle,
     ("bundle", "submit"): SubmitBundle,
@@ -287,11 +291,11 @@
     ("settings", "check"): CheckSettings,
     ("keys", "generate"): GenerateKeys,
 }
-# Help for the words that are no verb themselves.
+# Help for the words that group verbs.
 HELP_BY_WORDS: Final[dict[tuple[str, ...], str]] = {
     ("bundle",): "configuration bundles",
     ("upstream",): "engines and applications",
-    ("quarantine",): "requests that end upstreams",
+    ("quarantine",): "requests that crash upstreams",
     ("weights",): "weights on the engines",
     ("trainer",): "trainers",
     ("sample",): "samples",
--- a/tests/test_cli_arguments.py
+++ b/tests/test_cli_arguments.py
@@ -1,4 +1,4 @@
-"""The command line: what is taken, and what is refused before anything is sent."""
+"""The command line: what is accepted, and what is rejected before any request."""
 
 import contextlib
 import io
@@ -17,7 +17,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 DIGEST = "AB12"
 
-# Command lines that are wrong, and a part of what is said.
+# Invalid command lines, and a part of the error message.
 BAD = (
     ("", "required: COMMAND"),
     ("bundle", "required: COMMAND"),
@@ -137,14 +137,15 @@
 
 class TestProcess(unittest.TestCase):
     def test_the_tool_does_not_load_the_daemons_runtime(self):
-        # The daemon's runtime patches sockets and costs the tool its start-up time.
+        # The daemon's runtime patches sockets, and importing it would delay the start
+        # of the tool.
         code = (
             "import sys, bilberrydrum_cli.main;"
             "sys.exit('eventlet' in sys.modules or 'prometheus_client' in sys.modules)"
         )
         subprocess.run([sys.executable, "-c", code], cwd=ROOT, check=True)
 
-    def test_a_reader_that_has_gone_is_no_traceback(self):
+    def test_closed_output_pipe_prints_no_traceback(self):
         read_end, write_end = os.pipe()
         os.close(read_end)
         command = [sys.executable, "-m", "bilberrydrum_cli.main"]
--- a/tests/test_cli_client.py
+++ b/tests/test_cli_client.py
@@ -1,4 +1,4 @@
-"""The tool goes on to another gateway when one is dead, frozen or busy."""
+"""The tool tries another gateway when one is dead, frozen or busy."""
 
 import json
 import unittest
@@ -10,14 +10,14 @@
 from bilberrydrum_cli import client, rotation
 
 A, B, C = "http://a", "http://b", "http://c"
-MISSED = rotation.Missed()
+FAILED = rotation.Failed()
 
 
-def after(seconds):
-    return rotation.Missed(seconds)
+def retry_after(seconds):
+    return rotation.Failed(seconds)
 
 
-# Gateways, deadline, and pairs of time and event with the effect expected.
+# Gateways, deadline, and triples of time, event and expected effect.
 ROTATIONS = (
     (
         "each gets its share of the time",
@@ -25,47 +25,50 @@
         9.0,
         [
             (0.0, None, rotation.Try(A, 3.0)),
-            (3.0, MISSED, rotation.Try(B, 3.0)),
-            (6.0, MISSED, rotation.Try(C, 3.0)),
-            (9.0, MISSED, rotation.GiveUp()),
+            (3.0, FAILED, rotation.Try(B, 3.0)),
+            (6.0, FAILED, rotation.Try(C, 3.0)),
+            (9.0, FAILED, rotation.GiveUp()),
         ],
     ),
     (
-        "a round of dead ones is followed by a pause that grows",
+        "a round of dead gateways is followed by a pause that grows",
         (A, B),
         100.0,
         [
             (0.0, None, rotation.Try(A, 50.0)),
-            (0.0, MISSED, rotation.Try(B, 100.0)),
-            (0.0, MISSED, rotation.Try(A, 49.9, 0.2)),
-            (0.2, MISSED, rotation.Try(B, 99.8)),
-            (0.2, MISSED, rotation.Try(A, 49.7, 0.4)),
+            (0.0, FAILED, rotation.Try(B, 100.0)),
+            (0.0, FAILED, rotation.Try(A, 49.9, 0.2)),
+            (0.2, FAILED, rotation.Try(B, 99.8)),
+            (0.2, FAILED, rotation.Try(A, 49.7, 0.4)),
         ],
     ),
     (
-        "the shortest wait asked for in a round counts",
+        "the shortest Retry-After of a round is used",
         (A, B, C),
         60.0,
         [
             (0.0, None, rotation.Try(A, 20.0)),
-            (0.0, after(7.0), rotation.Try(B, 30.0)),
-            (0.0, after(2.0), rotation.Try(C, 60.0)),
-            (0.0, MISSED, rotation.Try(A, 58.0 / 3, 2.0)),
+            (0.0, retry_after(7.0), rotation.Try(B, 30.0)),
+            (0.0, retry_after(2.0), rotation.Try(C, 60.0)),
+            (0.0, FAILED, rotation.Try(A, 58.0 / 3, 2.0)),
         ],
     ),
     (
-        "a wait beyond the deadline is not begun",
+        "a wait that would exceed the deadline is not begun",
         (A,),
         10.0,
-        [(0.0, None, rotation.Try(A, 10.0)), (1.0, after(30.0), rotation.GiveUp())],
+        [
+            (0.0, None, rotation.Try(A, 10.0)),
+            (1.0, retry_after(30.0), rotation.GiveUp()),
+        ],
     ),
     (
-        "an attempt gets a second if there is one",
+        "an attempt gets at least a second if there is one",
         (A, B, C),
         1.2,
         [
             (0.0, None, rotation.Try(A, 1.0)),
-            (1.0, MISSED, rotation.Try(B, 1.2 - 1.0)),
+            (1.0, FAILED, rotation.Try(B, 1.2 - 1.0)),
         ],
     ),
 )
@@ -88,7 +91,7 @@
 
 
 class Http:
-    """Stands for urllib3: gives what the script says, once each."""
+    """Fake of urllib3: returns or raises the scripted outcomes in order."""
 
     def __init__(self, *script):
         self.script = list(script)
@@ -103,7 +106,7 @@
 
 
 class Clock:
-    """Time that passes in sleeps alone, and a little with each look at it."""
+    """A clock that advances by each sleep, and a little each time it is read."""
 
     def __init__(self):
         self.now = 0.0
@@ -127,17 +130,17 @@
 class TestRotation(unittest.TestCase):
     @tools.params(*ROTATIONS)
     def test_order_and_times(self, name, gateways, deadline, steps):
-        turn = rotation.Rotation(gateways)
+        order = rotation.Rotation(gateways)
         for now, event, expected in steps:
-            effect = turn.step(now, event or rotation.Begin(deadline))
+            effect = order.step(now, event or rotation.Begin(deadline))
             self.assertEqual(_rounded(effect), _rounded(expected))
 
-    def test_the_one_that_answered_is_asked_first_the_next_time(self):
-        turn = rotation.Rotation((A, B))
-        turn.step(0.0, rotation.Begin(10.0))
-        turn.step(0.0, MISSED)
-        self.assertEqual(turn.step(0.0, rotation.Answered()), rotation.Done())
-        self.assertEqual(turn.step(5.0, rotation.Begin(15.0)), rotation.Try(B, 5.0))
+    def test_last_gateway_that_answered_is_tried_first(self):
+        order = rotation.Rotation((A, B))
+        order.step(0.0, rotation.Begin(10.0))
+        order.step(0.0, FAILED)
+        self.assertEqual(order.step(0.0, rotation.Answered()), rotation.Done())
+        self.assertEqual(order.step(5.0, rotation.Begin(15.0)), rotation.Try(B, 5.0))
 
 
 def _rounded(effect):
@@ -150,7 +153,7 @@
     @tools.params(
         ("dead", REFUSED, []),
         ("not connected in time", NOT_CONNECTED, []),
-        ("died with the request in hand", RESET, []),
+        ("crashed during the request", RESET, []),
         ("frozen", FROZEN, []),
         ("busy", BUSY, []),
         ("busy without a time", Response(503), []),
@@ -158,11 +161,11 @@
         ("busy until a date", Response(503, b"", {"Retry-After": "Mon"}), []),
     )
     def test_change_goes_on_to_the_next_gateway(self, name, outcome, sleeps):
-        """The operator sees one answer although the first gateway gave none.
+        """A change succeeds although the first gateway does not answer.
 
-        The first gateway fails the request in the named way; the second one takes the
+        The first gateway fails the request in the given way; the second one accepts the
         same request with the same body. Sending it twice is safe, since a bundle is
-        known by its digest.
+        identified by its digest.
         """
         http = Http(outcome, OK)
         made, clock = make_client(http)
@@ -175,7 +178,7 @@
         self.assertEqual(bodies, {b'{"content": "c"}'})
         self.assertEqual(clock.sleeps, sleeps)
 
-    def test_all_busy_is_waited_out(self):
+    def test_waits_while_all_gateways_are_busy(self):
         http = Http(BUSY, BUSY, OK)
         made, clock = make_client(http)
         self.assertTrue(made.json("GET", "/v1/bundles").is_ok())
@@ -184,10 +187,10 @@
     @tools.params(
         ("never sent", [REFUSED, NOT_CONNECTED], False),
         ("sent to one", [REFUSED, RESET], True),
-        ("not known whether it ran", [BUSY, REFUSED], True),
+        ("outcome unknown", [BUSY, REFUSED], True),
         ("refused as not run", [NOT_RUN, REFUSED], False),
     )
-    def test_giving_up_tells_whether_the_change_may_have_been_made(
+    def test_unavailable_says_whether_the_change_may_have_been_made(
         self, name, script, may_have_run
     ):
         made, _ = make_client(Http(*script), timeout=0.1)
@@ -196,17 +199,17 @@
         self.assertEqual(failure.may_have_run, may_have_run)
         self.assertEqual(set(failure.attempts_by_gateway), {A, B})
 
-    def test_a_query_that_failed_has_changed_nothing(self):
+    def test_failed_query_has_changed_nothing(self):
         made, _ = make_client(Http(RESET, RESET), timeout=0.1)
         failure = made.json("GET", "/v1/bundles").err_value
         self.assertFalse(failure.may_have_run)
 
     @tools.params(
         ("conflict", Response(409, b'{"reason": "bundle-conflict"}'), "Refused"),
-        ("error that is no document", Response(500, b"<html>"), "Refused"),
-        ("answer that is not JSON", Response(200, b"<html>"), "Senseless"),
-        ("answer nested too deeply", Response(200, b"[" * 100_000), "Senseless"),
-        ("elsewhere", Response(302, b"", {"Location": B}), "Senseless"),
+        ("error without a document", Response(500, b"<html>"), "Refused"),
+        ("answer that is not JSON", Response(200, b"<html>"), "InvalidAnswer"),
+        ("answer nested too deeply", Response(200, b"[" * 100_000), "InvalidAnswer"),
+        ("elsewhere", Response(302, b"", {"Location": B}), "InvalidAnswer"),
     )
     def test_other_answers_are_final(self, name, response, expected):
         http = Http(response)
--- a/tests/test_cli_process.py
+++ b/tests/test_cli_process.py
@@ -1,4 +1,4 @@
-"""The tool as a process of its own against a gateway's bundle interface over HTTP."""
+"""The tool, as a separate process, against the bundle interface of a gateway."""
 
 from bilberrydrum import runtime
 
@@ -29,16 +29,16 @@
 
 
 class Lease:
-    """Stands for the gateway's lease: a roll is confirmed at the second look."""
+    """Fake of the gateway's lease: a roll is confirmed at the second poll."""
 
     def __init__(self, state):
         self.state = state
-        self.n_looks = 0
+        self.n_polls = 0
 
     def ask_roll_status(self):
-        self.n_looks += 1
+        self.n_polls += 1
         version = records.read(self.state.state()).rolling
-        if self.n_looks == 1:
+        if self.n_polls == 1:
             return result.Ok(messages.RollStatus(version, 1, 2, ["gw-2"]))
         if version:
             self.state.apply(commands.MarkInForce(version))
@@ -59,7 +59,7 @@
         listener = server.HttpServer(address, app, options.LimitOptions())
         listener.start()
         self.addCleanup(listener.stop_accepting)
-        # The first gateway named is dead.
+        # No process listens on the first address.
         self.gateways = f"127.0.0.1:{helpers.free_port()}, {address}"
 
     def write(self, name, text):
@@ -92,11 +92,11 @@
         return process.returncode, json.loads(out), err
 
     def test_a_bundle_is_rolled_past_a_dead_gateway_and_a_lost_answer(self):
-        """The operator sees each step succeed once.
+        """Each step succeeds although a gateway is dead and an answer is lost.
 
-        The first gateway named is dead. The submission is committed, but its answer is
-        lost on the way, so the gateway says that the outcome is unknown; the tool sends
-        it again, which is safe because a bundle is known by its digest.
+        The first gateway is dead. The submission is committed, but its answer is lost,
+        so the second gateway reports that the outcome is unknown. The tool sends the
+        submission again, which is safe because a bundle is identified by its digest.
         """
         _, checked, _ = self.run_tool("bundle", "check", self.file)
         digest = checked["digest"]
--- a/tests/test_cli_verbs.py
+++ b/tests/test_cli_verbs.py
@@ -1,4 +1,4 @@
-"""Each verb: what it asks, what it prints, and its exit code."""
+"""Each verb: the request that it sends, what it prints, and its exit code."""
 
 import errno
 import io
@@ -31,7 +31,7 @@
 
 
 class Gateways:
-    """Stands for the client: notes each request and gives what the script says."""
+    """Fake of the client: records each request and returns the scripted outcomes."""
 
     def __init__(self, *script):
         self.script = list(script)
@@ -136,7 +136,7 @@
         'b.yaml:3:5: error: bad\n{"odd": 1}\n',
     ),
     (UNAVAILABLE, codes.UNAVAILABLE, "it is safe to send the same command again"),
-    (result.Err(client.Senseless("http://a", 200)), codes.FAILED, "not JSON"),
+    (result.Err(client.InvalidAnswer("http://a", 200)), codes.FAILED, "not JSON"),
 )
 
 
@@ -152,11 +152,11 @@
 
 ROLLING = status("rolling", 1, ["gw-2"])
 IN_FORCE = status("in-force", 2)
-# What the polls give, the exit code, and a part of the remarks.
+# The answers to the polls, the exit code, and a part of the printed messages.
 WAITS = (
     ("at once", [IN_FORCE], codes.OK, "in-force, 2 of 2 gateways"),
     ("in time", [ROLLING, ROLLING, IN_FORCE], codes.OK, "waiting for gw-2\n"),
-    ("gateway lost meanwhile", [UNAVAILABLE, IN_FORCE], codes.OK, "2 of 2"),
+    ("no gateway answers one poll", [UNAVAILABLE, IN_FORCE], codes.OK, "2 of 2"),
     ("superseded", [status("superseded", 2)], codes.NOT_IN_FORCE, "newer one"),
     ("late", [ROLLING] * 5, codes.NOT_IN_FORCE, "not in force everywhere after 1 s"),
     ("refused", [refused(404, reason="not-found")], codes.NOT_FOUND, "not-found"),
@@ -194,13 +194,13 @@
         self.assertIn(message, err)
         self.assertEqual(len(requests), 1 + len(polls))
 
-    def test_a_poll_lasts_no_longer_than_the_wait(self):
+    def test_poll_timeout_is_bounded_by_the_wait(self):
         gateways = Gateways({}, *[ROLLING] * 5)
         verb = verbs.RollBundle(3, "ab", wait=True, wait_seconds=1.0)
         verbs.run(verb, make_session(gateways))
         self.assertEqual(gateways.timeouts, [None, 1.0, 0.75, 0.5, 0.25, 0.25])
 
-    def test_progress_off_a_terminal_is_a_line_per_change(self):
+    def test_progress_outside_a_terminal_is_a_line_per_change(self):
         verb = verbs.RollBundle(3, "ab", wait=True, wait_seconds=60.0)
         _, _, err, _ = run(verb, {}, *[ROLLING] * 20, IN_FORCE)
         self.assertEqual(len(err.splitlines()), 2)
@@ -215,7 +215,7 @@
     @tools.params(
         (verbs.CheckBundle, "/v1/bundles/check"), (verbs.SubmitBundle, "/v1/bundles")
     )
-    def test_bundle_is_sent_as_it_stands(self, verb_class, target):
+    def test_bundle_is_sent_unchanged(self, verb_class, target):
         self.file.write_text("version: 1 # ñ\n")
         name = str(self.file)
         code, _, _, requests = run(verb_class(name), {"digest": "ab"})
@@ -246,7 +246,7 @@
         self.assertEqual(code, codes.OK)
         self.assertEqual(out.splitlines()[3:], [" a: 1", "-b: 2", "+b: 3"])
 
-    def test_snapshot_is_saved_once_inspected_and_restored_as_it_is(self):
+    def test_snapshot_is_saved_once_inspected_and_restored_unchanged(self):
         verb = verbs.SaveSnapshot(str(self.file))
         code, out, _, _ = run(verb, SNAPSHOT, form=output.FORM_JSON)
         self.assertEqual((code, json.loads(out)["n_bytes"]), (codes.OK, len(SNAPSHOT)))
@@ -263,7 +263,7 @@
         _, _, _, requests = run(verb, b"{}")
         self.assertEqual(requests, [("POST", "/v1/state/snapshot", SNAPSHOT)])
 
-    def test_no_half_snapshot_is_left_when_the_disk_is_full(self):
+    def test_no_partial_snapshot_is_left_when_the_disk_is_full(self):
         full = OSError(errno.ENOSPC, "No space left on device")
         with mock.patch("os.fsync", side_effect=full):
             code, _, err, _ = run(verbs.SaveSnapshot(str(self.file)), SNAPSHOT)
