--- a/bilberrydrum/batches/service.py
+++ b/bilberrydrum/batches/service.py
@@ -15,7 +15,7 @@
 from bilberrydrum.fleet import subscriber
 from bilberrydrum.relay import crash_watch, relay
 from bilberrydrum.requests import attempts
-from bilberrydrum.state import leader_service, replica, tenure
+from bilberrydrum.state import fencing, leader_service, replica
 
 # Time for a change to be committed before the caller is sent on to ask again.
 COMMIT_SECONDS: Final = 2.0
@@ -60,7 +60,7 @@
         passing_on: relay.Relay,
         crashes: crash_watch.CrashWatch,
         retention_seconds: float,
-        orders_tenure: tenure.Tenure,
+        orders_guard: fencing.FencingGuard,
     ) -> None:
         """Make the service; nothing runs before `start`.
 
@@ -72,7 +72,7 @@
             Told of the items' runs that break off.
         retention_seconds : float
             How long an ended batch can be read, from its submission on.
-        orders_tenure : tenure.Tenure
+        orders_guard : fencing.FencingGuard
             The right to give orders to engines.
         """
         self._replica = replica_
@@ -83,7 +83,7 @@
         self._relay = passing_on
         self._crashes = crashes
         self._retention_seconds = retention_seconds
-        self._orders_tenure = orders_tenure
+        self._orders_guard = orders_guard
         self._service = leader_service.LeaderService(replica_, carrier)
         self._runner: runner.BatchRunner | None = None
         # How many runners there have been.
@@ -167,7 +167,7 @@
                 batch_id, scores=(commands.Score(item_id, score),)
             ),
             save=self._save,
-            fencing_number=self._orders_tenure.take_number,
+            fencing_number=self._orders_guard.acquire_number,
             may_send=lambda: self._leads(term),
             holder=self._carrier.process_id,
         )
--- a/bilberrydrum/nodes/control.py
+++ b/bilberrydrum/nodes/control.py
@@ -8,7 +8,7 @@
 
 from bilberrydrum.fleet import control
 from bilberrydrum.nodes import groups, links, options
-from bilberrydrum.state import replica, tenure
+from bilberrydrum.state import fencing, replica
 
 # Its commands may be in the log.
 from bilberrydrum.usage import commands as usage_commands  # noqa: F401
@@ -85,7 +85,7 @@
         replica_,
         reports,
         node.name,
-        tenure.Tenure(
+        fencing.FencingGuard(
             replica_, node.order_lease_seconds, node.do_upstreams_check_fencing
         ),
         lambda prepare: single_calls.call(
--- a/bilberrydrum/nodes/groups.py
+++ b/bilberrydrum/nodes/groups.py
@@ -91,7 +91,7 @@
     that, its process would end again and again.
     """
     failure = replica_.failure
-    if failure and replica_.waits_for_disk():
+    if failure and replica_.is_waiting_for_disk():
         return ""
     if failure == replica.REMOVED:
         replica_.discard()
--- a/bilberrydrum/nodes/store.py
+++ b/bilberrydrum/nodes/store.py
@@ -14,7 +14,7 @@
 from bilberrydrum.nodes import groups, links, options
 from bilberrydrum.relay import balancing, crash_watch, relay
 from bilberrydrum.requests import attempts, connections, watch
-from bilberrydrum.state import files, replica, storage, tenure
+from bilberrydrum.state import fencing, files, replica, storage
 from bilberrydrum.state import node as state_node
 
 _LOOK_SECONDS = 0.1
@@ -84,7 +84,7 @@
             self._make_relay(means),
             self._item_crashes,
             self._node.retention_seconds,
-            tenure.Tenure(
+            fencing.FencingGuard(
                 self.replica,
                 self._node.order_lease_seconds,
                 self._node.do_upstreams_check_fencing,
--- a/bilberrydrum/state/applying.py
+++ b/bilberrydrum/state/applying.py
@@ -124,7 +124,7 @@
             return
         if not leader.successor(state, role):
             return
-        self._owner.put(events.GiveUpLeadership())
+        self._owner.put(events.TransferLeadership())
         deadline = clock.now() + _HANDOVER_SECONDS
         while state.role is role and clock.now() < deadline:
             clock.sleep(0.005)
@@ -134,7 +134,7 @@
         self._spread = self._draw_spread()
         data = self._encode()
         tpool.execute(self._store.write_snapshot, header.index, data)
-        self._disk.put(disk.Adopt(header.index, len(data)))
+        self._disk.put(disk.ActivateSnapshot(header.index, len(data)))
         # The next one is not due before this one is in use.
         while self._owner.node.snapshot_index < header.index:
             clock.sleep(0.005)
--- a/bilberrydrum/state/core.py
+++ b/bilberrydrum/state/core.py
@@ -1,8 +1,9 @@
 """The replication core: `step(now, event)` returns the effects.
 
-A leader is elected by terms and votes, takes commands into its log, and commits an
-entry once a majority holds it synced (the Raft algorithm, with pre-vote, check-quorum
-and leader leases). The core is pure; `replica` carries its effects out.
+This is the Raft algorithm with pre-vote, check-quorum and leader leases: a leader is
+elected by a majority of votes in a term, appends commands to its log, and commits an
+entry once a majority has synced it to disk. The core does no input or output;
+`replica` carries out its effects.
 """
 
 import functools
@@ -22,7 +23,7 @@
 
 
 class Core:
-    """One replica's decisions."""
+    """The Raft state machine of one replica."""
 
     def __init__(
         self,
@@ -34,16 +35,17 @@
         self.node = node.Node(settings, recovered, rng, now)
 
     def step(self, now: float, event: Any) -> list[Any]:
-        """Take in one event of `events` at time `now` and return the effects."""
+        """Process one event of `events` at time `now` and return the effects."""
         self.node.now = now
         self.node.effects = []
         _on_event(event, self.node)
         return self.node.effects
 
     def lease_end(self, now: float) -> float:
-        """Return until when this replica may answer for the group.
+        """Return the time at which this replica's leader lease ends.
 
-        In the past if it does not lead or has not committed in its term yet.
+        Returns minus infinity if it does not lead or has not committed an entry of its
+        term yet.
         """
         role = self.node.role
         if not isinstance(role, node.Leader):
@@ -56,7 +58,7 @@
 
 @functools.singledispatch
 def _on_event(event: Any, state: node.Node) -> None:
-    raise TypeError(f"no such event: {type(event).__name__}")
+    raise TypeError(f"unknown event type {type(event).__name__}")
 
 
 @_on_event.register
@@ -73,15 +75,16 @@
     message = event.message
     if message.receiver_id == state.replica_id:
         _on_message(message, state, event.address)
-    elif isinstance(message, messages.AskLeading):
-        starting.on_ask_for_earlier(state, event.address, message)
-    # Else nothing: a host that lost its disk has the address of its earlier replica.
-    # Answering a message for that one would vouch for what was lost.
+    elif isinstance(message, messages.LeadershipQuery):
+        starting.on_query_for_predecessor(state, event.address, message)
+    # Other messages for another replica id are dropped. A host that lost its disk keeps
+    # its address but gets a new replica id; answering for the earlier replica would
+    # acknowledge votes and entries that were lost with the disk.
 
 
 @_on_event.register
 def _on_synced(event: events.Synced, state: node.Node) -> None:
-    for effect in state.synced(event.number):
+    for effect in state.record_synced(event.number):
         if isinstance(effect, node.CountOwnVote):
             election.on_own_vote(state, effect)
         else:
@@ -108,19 +111,19 @@
 
 
 @_on_event.register
-def _on_found(event: events.Found, state: node.Node) -> None:
-    election.found(state, event.membership)
+def _on_bootstrap(event: events.BootstrapGroup, state: node.Node) -> None:
+    election.bootstrap(state, event.membership)
 
 
 @_on_event.register
-def _on_give_up(event: events.GiveUpLeadership, state: node.Node) -> None:
+def _on_transfer_leadership(event: events.TransferLeadership, state: node.Node) -> None:
     if isinstance(state.role, node.Leader):
-        leader.give_up(state, state.role)
+        leader.transfer_leadership(state, state.role)
 
 
 @functools.singledispatch
 def _on_message(message: Any, state: node.Node, address: str) -> None:
-    raise TypeError(f"no such message: {type(message).__name__}")
+    raise TypeError(f"unknown message type {type(message).__name__}")
 
 
 @_on_message.register
@@ -136,15 +139,17 @@
 
 
 @_on_message.register
-def _on_ask_leading(
-    message: messages.AskLeading, state: node.Node, address: str
+def _on_leadership_query(
+    message: messages.LeadershipQuery, state: node.Node, address: str
 ) -> None:
-    starting.on_ask(state, address, message)
+    starting.on_leadership_query(state, address, message)
 
 
 @_on_message.register
-def _on_leading(message: messages.Leading, state: node.Node, address: str) -> None:
-    starting.on_answer(state, message)
+def _on_leadership_reply(
+    message: messages.LeadershipReply, state: node.Node, address: str
+) -> None:
+    starting.on_leadership_reply(state, message)
 
 
 @_on_message.register
@@ -175,5 +180,7 @@
 
 
 @_on_message.register
-def _on_stand_now(message: messages.StandNow, state: node.Node, address: str) -> None:
-    election.on_stand_now(state, message)
+def _on_timeout_now(
+    message: messages.TimeoutNow, state: node.Node, address: str
+) -> None:
+    election.on_timeout_now(state, message)
--- a/bilberrydrum/state/disk.py
+++ b/bilberrydrum/state/disk.py
@@ -1,7 +1,7 @@
-"""The replica's disk task: writes that come together share one sync.
+"""The replica's disk task, which makes several writes share one sync.
 
-A sync stops the thread that asks for it, so it is made in a thread of its own, and what
-arrives meanwhile is written with the next (group commit).
+A sync blocks the calling thread, so it runs in a worker thread. Jobs that arrive
+meanwhile are written with the next sync (group commit).
 """
 
 from collections.abc import Callable
@@ -15,8 +15,8 @@
 
 
 @attrs.frozen
-class Adopt:
-    """Use the snapshot that was written for `index`."""
+class ActivateSnapshot:
+    """Start using the snapshot that was written for `index`."""
 
     index: int
     n_bytes: int
@@ -24,7 +24,7 @@
 
 @attrs.frozen
 class Stop:
-    """End the task once all before is done."""
+    """End the task once all earlier jobs are done."""
 
 
 class DiskTask:
@@ -36,11 +36,11 @@
         self._jobs: Any = eventlet.queue.Queue()
 
     def put(self, job: Any) -> None:
-        """Have a `Write`, `SaveSnapshot`, `DropLog` or `Adopt` carried out."""
+        """Queue a `Write`, `SaveSnapshot`, `DropLog` or `ActivateSnapshot`."""
         self._jobs.put(job)
 
     def run(self) -> None:
-        """Carry out the jobs, in order; an error of the disk ends the task."""
+        """Carry out the jobs in order; a disk error ends the task."""
         while True:
             jobs = [self._jobs.get()]
             while not self._jobs.empty():
@@ -49,7 +49,7 @@
             jobs = [each for each in jobs if not isinstance(each, Stop)]
             tpool.execute(carry_out, self._store, jobs)
             for job in jobs:
-                if isinstance(job, Adopt):
+                if isinstance(job, ActivateSnapshot):
                     self._done(events.SnapshotSaved(job.index, job.n_bytes))
             numbers = [each.number for each in jobs if hasattr(each, "number")]
             if numbers:
@@ -59,7 +59,7 @@
 
 
 def carry_out(store: storage.Storage, jobs: list[Any]) -> None:
-    """Carry out `jobs` in order, runs of writes with one sync."""
+    """Carry out `jobs` in order, consecutive writes with one sync."""
     writes = []
     for job in jobs:
         if isinstance(job, events.Write | events.SaveSnapshot):
@@ -67,8 +67,8 @@
             continue
         store.append(writes)
         writes = []
-        if isinstance(job, Adopt):
-            store.adopt_snapshot(job.index)
+        if isinstance(job, ActivateSnapshot):
+            store.activate_snapshot(job.index)
         else:
             store.drop_log(job.index)
     store.append(writes)
--- a/bilberrydrum/state/election.py
+++ b/bilberrydrum/state/election.py
@@ -1,8 +1,8 @@
-"""Elections: pre-vote, votes, and the rule that a heard leader is left alone.
+"""Elections: pre-vote, votes, and the rule that protects a live leader.
 
-A replica that hears no leader first asks whether it could win (pre-vote), without
-changing anybody's term. Only then does it start a term and ask for votes. A replica
-that heard a leader within the election timeout answers neither.
+A replica whose election timeout expires first asks whether it could win (pre-vote),
+which changes no term. Only if a majority agrees does it start a term and request votes.
+A replica that received a leader's message within the election timeout answers neither.
 """
 
 from bilberrydrum import codec
@@ -10,43 +10,43 @@
 
 
 def tick(state: node.Node) -> None:
-    """Stand for election if no leader was heard from for long enough."""
-    if state.now < state.election_deadline or not may_stand(state):
+    """Start an election if the election timeout has expired."""
+    if state.now < state.election_deadline or not may_campaign(state):
         return
     start_pre_vote(state)
 
 
-def may_stand(state: node.Node) -> bool:
-    """Tell whether this replica may become a leader."""
+def may_campaign(state: node.Node) -> bool:
+    """Return whether this replica may become a leader."""
     return state.is_voter() and state.installing is None
 
 
 def start_pre_vote(state: node.Node) -> None:
-    """Ask whether a majority would vote for this replica.
+    """Start a pre-vote: ask whether a majority would vote for this replica.
 
-    A replica that was cut off would otherwise come back with a higher term and depose
-    a healthy leader; asking first, it disturbs nobody.
+    Without it, a replica that was partitioned would return with a higher term and make
+    a healthy leader step down.
     """
     state.role = node.Candidate(is_pre_vote=True, granted_ids={state.replica_id})
     state.reset_election_deadline()
     if state.members.is_majority(state.role.granted_ids):
         campaign(state)
         return
-    _ask_all(state, state.role, state.term + 1)
+    _request_votes(state, state.role, state.term + 1)
 
 
 def campaign(state: node.Node, is_transfer: bool = False) -> None:
-    """Start a new term and ask for votes in it."""
+    """Start a new term and request votes in it."""
     state.term += 1
     state.voted_for = state.replica_id
     state.write()
     state.role = node.Candidate(is_pre_vote=False, is_transfer=is_transfer)
     state.reset_election_deadline()
-    _ask_all(state, state.role, state.term)
+    _request_votes(state, state.role, state.term)
     state.hold(node.CountOwnVote(state.term))
 
 
-def _ask_all(state: node.Node, role: node.Candidate, term: int) -> None:
+def _request_votes(state: node.Node, role: node.Candidate, term: int) -> None:
     for replica in state.members.replicas:
         if replica.replica_id == state.replica_id or not replica.is_voter:
             continue
@@ -62,19 +62,22 @@
         state.hold(events.Send(replica.peer_address, request))
 
 
-def hears_leader(state: node.Node) -> bool:
-    """Tell whether a leader may hold a lease that this replica's answer gave it.
+def may_support_lease(state: node.Node) -> bool:
+    """Return whether a leader's lease may rest on this replica's acknowledgement.
 
-    Voting for another while that lease runs would let the new leader commit what the
-    old one, answering reads under its lease, does not know.
+    If this replica voted for another candidate before that lease expires, the new
+    leader could commit entries while the old one still answers reads without them.
     """
     if isinstance(state.role, node.Leader):
         return leader.lease_end(state, state.role) > state.now
-    return state.now - state.heard_at < state.settings.election_timeout
+    return state.now - state.leader_contact_at < state.settings.election_timeout
 
 
 def is_up_to_date(state: node.Node, request: messages.VoteRequest) -> bool:
-    """Tell whether the candidate's log holds all that this replica's may commit."""
+    """Return whether the candidate's log is at least as up to date as this one.
+
+    A candidate with a majority of such votes holds all committed entries.
+    """
     own = (state.log.last_term, state.log.last_index)
     return (request.last_term, request.last_index) >= own
 
@@ -82,8 +85,8 @@
 def on_vote_request(
     state: node.Node, address: str, request: messages.VoteRequest
 ) -> None:
-    """Answer a candidate."""
-    if hears_leader(state) and not request.is_transfer:
+    """Answer a candidate's vote request."""
+    if may_support_lease(state) and not request.is_transfer:
         return
     if request.is_pre_vote:
         is_granted = request.term > state.term and is_up_to_date(state, request)
@@ -118,7 +121,7 @@
 
 
 def on_vote_reply(state: node.Node, reply: messages.VoteReply) -> None:
-    """Count a vote."""
+    """Process the reply to a vote request."""
     role = state.role
     if not reply.is_granted:
         if reply.term > state.term:
@@ -126,22 +129,22 @@
         return
     if not isinstance(role, node.Candidate) or reply.is_pre_vote != role.is_pre_vote:
         return
-    asked_term = state.term + 1 if role.is_pre_vote else state.term
-    if reply.term != asked_term:
+    expected_term = state.term + 1 if role.is_pre_vote else state.term
+    if reply.term != expected_term:
         return
-    _count(state, role, reply.sender_id)
+    _count_vote(state, role, reply.sender_id)
 
 
 def on_own_vote(state: node.Node, vote: node.CountOwnVote) -> None:
-    """Count this candidate's own vote, now that it is synced."""
+    """Count this candidate's own vote once it is synced."""
     role = state.role
     if vote.term != state.term or not isinstance(role, node.Candidate):
         return
     if not role.is_pre_vote:
-        _count(state, role, state.replica_id)
+        _count_vote(state, role, state.replica_id)
 
 
-def _count(state: node.Node, role: node.Candidate, voter_id: str) -> None:
+def _count_vote(state: node.Node, role: node.Candidate, voter_id: str) -> None:
     role.granted_ids.add(voter_id)
     if not state.members.is_majority(role.granted_ids):
         return
@@ -151,14 +154,14 @@
         leader.start(state)
 
 
-def on_stand_now(state: node.Node, message: messages.StandNow) -> None:
-    """Stand at once: the leader of this term has given up its lease."""
-    if message.term == state.term and may_stand(state):
+def on_timeout_now(state: node.Node, message: messages.TimeoutNow) -> None:
+    """Start an election at once: the leader of this term gave up its lease."""
+    if message.term == state.term and may_campaign(state):
         campaign(state, is_transfer=True)
 
 
-def found(state: node.Node, first: membership.Membership) -> None:
-    """Write the first membership as the first entry and stand for election."""
+def bootstrap(state: node.Node, first: membership.Membership) -> None:
+    """Write the first membership as the first entry and start an election."""
     if state.log.last_index or state.term:
         return
     state.term = 1
--- a/bilberrydrum/state/events.py
+++ b/bilberrydrum/state/events.py
@@ -1,4 +1,4 @@
-"""What goes into the replication core and what comes out of it."""
+"""Input events and output effects of the replication core."""
 
 import attrs
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class Received:
-    """A message of another replica came in from `address`."""
+    """A message of another replica was received from `address`."""
 
     address: str
     message: messages.PeerMessage
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class Synced:
-    """All writes up to `number` are on disk and synced."""
+    """All writes up to `number` are synced to disk."""
 
     number: int
 
@@ -32,13 +32,13 @@
     items: tuple[tuple[int, bytes], ...]
     # This process's wall clock in seconds.
     wall_time: float
-    # Given back with `Accepted` or `NotLeader`.
+    # Returned with `Accepted` or `NotLeader`.
     ticket: int = 0
 
 
 @attrs.frozen
 class ProposeChange:
-    """A change of the membership is asked for."""
+    """A membership change is requested."""
 
     change: membership.Change
     wall_time: float
@@ -47,22 +47,25 @@
 
 @attrs.frozen
 class SnapshotSaved:
-    """The own snapshot up to `index` is on disk and synced."""
+    """The local snapshot up to `index` is synced to disk."""
 
     index: int
     n_bytes: int
 
 
 @attrs.frozen
-class Found:
-    """Start the group; the other processes hold nothing of it."""
+class BootstrapGroup:
+    """Start a new group; no other process holds data of one."""
 
     membership: membership.Membership
 
 
 @attrs.frozen
-class GiveUpLeadership:
-    """The process is going to stop."""
+class TransferLeadership:
+    """Stop leading and let another voter start an election.
+
+    Used before the process stops, and before the leader encodes a large snapshot.
+    """
 
 
 Event = (
@@ -72,8 +75,8 @@
     | Propose
     | ProposeChange
     | SnapshotSaved
-    | Found
-    | GiveUpLeadership
+    | BootstrapGroup
+    | TransferLeadership
 )
 
 
@@ -87,7 +90,7 @@
 
 @attrs.frozen
 class HardState:
-    """What a replica must not forget of the elections."""
+    """The term and vote, which must survive a restart (Raft's hard state)."""
 
     term: int = 0
     voted_for: str = ""
@@ -95,7 +98,7 @@
 
 @attrs.frozen
 class Write:
-    """Write to the log and sync; then tell the core with `Synced(number)`.
+    """Write to the log and sync; `Synced(number)` reports completion.
 
     Entries replace those with the same or a higher index.
     """
@@ -107,9 +110,9 @@
 
 @attrs.frozen
 class SaveSnapshot:
-    """Save a snapshot received from the leader, then tell with `Synced(number)`.
+    """Save a snapshot received from the leader; `Synced(number)` reports completion.
 
-    Entries after the snapshot are forgotten unless `keeps_log`.
+    Entries after the snapshot are removed unless `keeps_log`.
     """
 
     number: int
@@ -120,7 +123,7 @@
 
 @attrs.frozen
 class Restore:
-    """Replace the applied state by that of a snapshot, now saved."""
+    """Replace the applied state by that of a received snapshot, which is saved."""
 
     index: int
     data: bytes
@@ -128,14 +131,14 @@
 
 @attrs.frozen
 class Commit:
-    """These entries are committed and to be applied, in order."""
+    """The entries are committed and are to be applied in order."""
 
     entries: tuple[log.Entry, ...]
 
 
 @attrs.frozen
 class SendChunk:
-    """Send the part of the own snapshot at `offset` to a follower."""
+    """Send the chunk of the local snapshot at `offset` to a follower."""
 
     address: str
     receiver_id: str
@@ -147,14 +150,14 @@
 
 @attrs.frozen
 class DropLog:
-    """Entries up to `index` are not needed any more."""
+    """Entries up to `index` may be removed from disk."""
 
     index: int
 
 
 @attrs.frozen
 class Accepted:
-    """The proposals of `ticket` are entries from `first_index` on."""
+    """The proposals of `ticket` were appended from `first_index` on."""
 
     ticket: int
     first_index: int
@@ -163,14 +166,14 @@
 
 @attrs.frozen
 class NotLeader:
-    """The proposals of `ticket` were not taken."""
+    """The proposals of `ticket` were not appended: this replica does not lead."""
 
     ticket: int
 
 
 @attrs.frozen
 class ChangeRefused:
-    """The membership change of `ticket` is not made."""
+    """The membership change of `ticket` was refused."""
 
     ticket: int
     detail: str
@@ -178,7 +181,7 @@
 
 @attrs.frozen
 class RoleChanged:
-    """The replica leads from now on, or does not any more."""
+    """The replica became the leader or stopped leading."""
 
     term: int
     is_leader: bool
--- a/bilberrydrum/state/files.py
+++ b/bilberrydrum/state/files.py
@@ -1,7 +1,7 @@
 """The file operations that the storage is built on.
 
-What is written lasts only once it is synced, and a new, renamed or removed name only
-once its folder is synced. Tests put a file system in this place that forgets the rest.
+Written data is durable only once it is synced, and a new, renamed or removed name only
+once its folder is synced. Tests use a file system in memory that drops everything else.
 """
 
 import os
@@ -12,7 +12,7 @@
     """Blocking file operations on paths."""
 
     def make_folder(self, path: str) -> None:
-        """Make the folder `path` if there is none."""
+        """Create the folder `path` if it does not exist."""
 
     def names(self, folder: str) -> list[str]:
         """Return the names in `folder`."""
@@ -21,25 +21,25 @@
         """Return the content of a file."""
 
     def read_part(self, path: str, offset: int, size: int) -> bytes:
-        """Return at most `size` bytes of a file from `offset` on."""
+        """Return at most `size` bytes of a file, starting at `offset`."""
 
     def append(self, path: str, data: bytes) -> None:
-        """Add `data` at the end of a file, made if there is none."""
+        """Append `data` to a file, which is created if it does not exist."""
 
     def write(self, path: str, data: bytes) -> None:
-        """Make a file of `data`, replacing what has its name, and sync it."""
+        """Write `data` to a file, replacing an existing one, and sync it."""
 
     def truncate(self, path: str, size: int) -> None:
-        """Cut a file to `size` bytes, and sync it."""
+        """Truncate a file to `size` bytes, and sync it."""
 
     def sync(self, path: str) -> None:
-        """Make the content of a file last."""
+        """Sync the content of a file."""
 
     def sync_folder(self, path: str) -> None:
-        """Make the names in a folder last."""
+        """Sync the names in a folder."""
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, replacing what has it."""
+        """Rename a file, replacing an existing one."""
 
     def remove(self, path: str) -> None:
         """Remove a file."""
@@ -49,14 +49,14 @@
 
 
 class DiskFiles:
-    """The operating system's files; keeps the one last appended to open."""
+    """Files of the operating system; the last one appended to is kept open."""
 
     def __init__(self) -> None:
         self._path = ""
         self._descriptor = -1
 
     def make_folder(self, path: str) -> None:
-        """Make the folder `path` if there is none."""
+        """Create the folder `path` if it does not exist."""
         os.makedirs(path, exist_ok=True)
 
     def names(self, folder: str) -> list[str]:
@@ -69,38 +69,38 @@
             return file.read()
 
     def read_part(self, path: str, offset: int, size: int) -> bytes:
-        """Return at most `size` bytes of a file from `offset` on."""
+        """Return at most `size` bytes of a file, starting at `offset`."""
         with open(path, "rb") as file:
             file.seek(offset)
             return file.read(size)
 
     def append(self, path: str, data: bytes) -> None:
-        """Add `data` at the end of a file, made if there is none."""
+        """Append `data` to a file, which is created if it does not exist."""
         self._open(path)
         left = memoryview(data)
         while left:
             left = left[os.write(self._descriptor, left) :]
 
     def write(self, path: str, data: bytes) -> None:
-        """Make a file of `data`, replacing what has its name, and sync it."""
+        """Write `data` to a file, replacing an existing one, and sync it."""
         with open(path, "wb") as file:
             file.write(data)
             file.flush()
             os.fsync(file.fileno())
 
     def truncate(self, path: str, size: int) -> None:
-        """Cut a file to `size` bytes, and sync it."""
+        """Truncate a file to `size` bytes, and sync it."""
         with open(path, "r+b") as file:
             file.truncate(size)
             os.fsync(file.fileno())
 
     def sync(self, path: str) -> None:
-        """Make the content of a file last."""
+        """Sync the content of a file."""
         self._open(path)
         os.fdatasync(self._descriptor)
 
     def sync_folder(self, path: str) -> None:
-        """Make the names in a folder last."""
+        """Sync the names in a folder."""
         descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
@@ -108,7 +108,7 @@
             os.close(descriptor)
 
     def rename(self, old: str, new: str) -> None:
-        """Give a file another name, replacing what has it."""
+        """Rename a file, replacing an existing one."""
         os.replace(old, new)
 
     def remove(self, path: str) -> None:
--- a/bilberrydrum/state/follower.py
+++ b/bilberrydrum/state/follower.py
@@ -1,30 +1,30 @@
-"""The follower: takes the leader's entries and snapshots."""
+"""The follower: accepts the leader's entries and snapshots."""
 
 from bilberrydrum.state import events, log, messages, node, snapshot
 
 
 def on_append(state: node.Node, address: str, append: messages.Append) -> None:
-    """Take entries of the leader, and answer once they are synced."""
+    """Append entries of the leader, and acknowledge them once they are synced."""
     if append.term < state.term:
         _reply(state, address, append, False, state.log.last_index)
         return
-    _hear(state, address, append)
+    _record_leader_contact(state, address, append)
     if state.installing is not None:
         return
-    agreed = _agreement(state, append)
-    if agreed is not None:
-        _reply(state, address, append, False, agreed)
+    hint = _rejection_hint(state, append)
+    if hint is not None:
+        _reply(state, address, append, False, hint)
         return
     last_index = append.previous_index
     if append.entries:
         entries = log.unpack(append.entries)
         last_index = entries[-1].index
-        _take(state, entries)
+        _append_missing(state, entries)
     state.commit_to(min(append.commit_index, last_index))
     _reply_when_synced(state, address, append, last_index)
 
 
-def _hear(
+def _record_leader_contact(
     state: node.Node,
     address: str,
     message: messages.Append | messages.SnapshotChunk,
@@ -33,30 +33,33 @@
     is_same = isinstance(role, node.Follower) and role.leader_id == message.sender_id
     if message.term > state.term or not is_same:
         state.become_follower(message.term, message.sender_id, address)
-    state.heard_at = state.now
-    state.has_heard = True
+    state.leader_contact_at = state.now
+    state.has_leader_contact = True
     state.reset_election_deadline()
 
 
-def _agreement(state: node.Node, append: messages.Append) -> int | None:
-    """Return where the logs may agree if they do not at the previous index."""
+def _rejection_hint(state: node.Node, append: messages.Append) -> int | None:
+    """Return the highest index at which the logs may match, if they conflict.
+
+    Returns None if they match at the append's previous index.
+    """
     if append.previous_index < state.log.base_index:
-        # What the base covers is committed, so the logs agree on it.
+        # Entries up to the base are committed, so the logs match there.
         return None
     if append.previous_index > state.log.last_index:
         return state.log.last_index
     term = state.log.term_at(append.previous_index)
     if term == append.previous_term:
         return None
-    # Skip the whole term that differs, down to what is known to be committed.
+    # Skip all entries of the conflicting term, but no committed entry.
     index = append.previous_index - 1
     while index > state.commit_index and state.log.term_at(index) == term:
         index -= 1
     return index
 
 
-def _take(state: node.Node, entries: list[log.Entry]) -> None:
-    """Add the entries not yet held; a differing one replaces all that follow."""
+def _append_missing(state: node.Node, entries: list[log.Entry]) -> None:
+    """Append the missing entries; a conflicting entry replaces all that follow."""
     for i, entry in enumerate(entries):
         if entry.index <= state.log.base_index:
             continue
@@ -72,7 +75,8 @@
     state: node.Node, address: str, append: messages.Append, last_index: int
 ) -> None:
     if state.is_term_durable() and not append.entries:
-        # A heartbeat does not wait for the disk: a slow sync must not end the lease.
+        # The reply to a heartbeat does not wait for the disk. Otherwise a slow
+        # sync would let the leader's lease expire.
         index = min(last_index, state.durable_index)
         _reply(state, address, append, True, index, is_held=False)
     else:
@@ -102,29 +106,32 @@
 
 
 def on_chunk(state: node.Node, address: str, chunk: messages.SnapshotChunk) -> None:
-    """Take a part of the leader's snapshot and ask for the next."""
+    """Store a chunk of the leader's snapshot and request the next one."""
     if chunk.term < state.term:
         return
-    _hear(state, address, chunk)
+    _record_leader_contact(state, address, chunk)
     if state.installing is not None:
         return
     if chunk.index <= state.commit_index:
-        _ask(state, address, chunk, -1)
+        _reply_to_chunk(state, address, chunk, -1)
         return
-    assembly = state.assembly
-    if assembly is None or (assembly.sender_id, assembly.index) != (
+    partial_snapshot = state.partial_snapshot
+    if partial_snapshot is None or (
+        partial_snapshot.sender_id,
+        partial_snapshot.index,
+    ) != (
         chunk.sender_id,
         chunk.index,
     ):
-        assembly = node.Assembly(chunk.sender_id, chunk.index)
-        state.assembly = assembly
-    if chunk.offset == len(assembly.data):
-        assembly.data += chunk.data
-    if len(assembly.data) < chunk.n_total_bytes:
-        _ask(state, address, chunk, len(assembly.data))
+        partial_snapshot = node.PartialSnapshot(chunk.sender_id, chunk.index)
+        state.partial_snapshot = partial_snapshot
+    if chunk.offset == len(partial_snapshot.data):
+        partial_snapshot.data += chunk.data
+    if len(partial_snapshot.data) < chunk.n_total_bytes:
+        _reply_to_chunk(state, address, chunk, len(partial_snapshot.data))
         return
-    state.assembly = None
-    _install(state, address, chunk, bytes(assembly.data))
+    state.partial_snapshot = None
+    _install(state, address, chunk, bytes(partial_snapshot.data))
 
 
 def _install(
@@ -132,13 +139,13 @@
 ) -> None:
     header = snapshot.read_header(data)
     if header is None or header.index != chunk.index:
-        _ask(state, address, chunk, 0)
+        _reply_to_chunk(state, address, chunk, 0)
         return
     state.save_snapshot(header.index, header.term, header.time, data, header.membership)
-    _ask(state, address, chunk, -1)
+    _reply_to_chunk(state, address, chunk, -1)
 
 
-def _ask(
+def _reply_to_chunk(
     state: node.Node, address: str, chunk: messages.SnapshotChunk, next_offset: int
 ) -> None:
     reply = messages.SnapshotReply(
@@ -153,7 +160,7 @@
 
 
 def on_installed(state: node.Node) -> None:
-    """Go on after a received snapshot, which is now synced."""
+    """Use a received snapshot once it is synced."""
     assert state.installing is not None
     effect = state.installing[1]
     state.installing = None
--- a/bilberrydrum/state/frames.py
+++ b/bilberrydrum/state/frames.py
@@ -1,10 +1,10 @@
-"""Checksummed frames: what one sync of the log adds to its file.
+"""Checksummed frames of the log file, one for each sync.
 
-A frame is a magic number, the file's salt, the frame's number, the payload's length,
-and a CRC-32 of all that and the payload. The records of one group commit make one
-frame, and the next frame is written only after it is synced. So a bad frame at the end
-is a write that the power cut, and was never acknowledged; a bad frame with a good one
-after it is damage.
+A frame consists of a magic number, the file's salt, the frame's number, the payload's
+length, a CRC-32 of the salt, the number, the length and the payload, and the payload.
+The records of one group commit form one frame, and the next frame is written only after
+it is synced. A bad frame at the end is therefore a write that was interrupted by a
+power loss and never acknowledged; a bad frame followed by a good one is damage.
 """
 
 import struct
@@ -19,17 +19,17 @@
 
 @attrs.frozen
 class Scan:
-    """What was found in a file."""
+    """The result of reading a file."""
 
     payloads: list[bytes]
-    # Bytes of good frames from the start.
+    # Number of bytes of the good frames at the start of the file.
     n_good_bytes: int
-    # A good frame follows a bad one.
+    # Whether a good frame follows a bad one.
     is_damaged: bool
 
 
 def encode(salt: bytes, number: int, payload: bytes) -> bytes:
-    """Return the frame of `payload`; `salt` is four bytes."""
+    """Return the frame of `payload`; `salt` has four bytes."""
     checksum = _checksum(salt, number, payload)
     return _HEAD.pack(MAGIC, salt, number, len(payload), checksum) + payload
 
@@ -64,10 +64,10 @@
 
 
 def _has_frame(data: bytes, position: int, salt: bytes, number: int) -> bool:
-    """Tell whether a good frame with a higher number follows `position`.
+    """Return whether a good frame with a higher number follows `position`.
 
-    The salt, unknown to clients, keeps a command that holds a copy of a log from being
-    taken for a frame.
+    Clients do not know the salt, so a command that contains a copy of a log is not
+    mistaken for a frame.
     """
     mark = MAGIC + salt
     position = data.find(mark, position + 1)
--- a/bilberrydrum/state/joining.py
+++ b/bilberrydrum/state/joining.py
@@ -1,22 +1,22 @@
-"""How a replica comes into its group, and hears that the group goes on without it.
+"""How a replica joins its group, and how it learns that it was removed.
 
-An empty replica asks the processes that it knows of until it may start the group, or
-until a leader lets it in. A replica that hears no leader asks whether it was removed:
-a leader sends nothing to who is not in the group.
+An empty replica probes the processes that it knows until it may bootstrap the group or
+until a leader adds it. A replica without contact to a leader asks whether it was
+removed, because a leader sends nothing to replicas outside the group.
 """
 
 from typing import Any, Final, Protocol
 
 from bilberrydrum import clock, interfaces, options, transport
-from bilberrydrum.state import events, founding, messages, node, stewardship
+from bilberrydrum.state import bootstrap, events, messages, node, stewardship
 
-# A replica that heard no leader for this long asks whether it was removed. Longer than
-# any election.
-_UNHEARD_SECONDS: Final = 3.0
+# A replica without contact to a leader for this long asks whether it was removed. This
+# is longer than any election.
+_NO_LEADER_SECONDS: Final = 3.0
 
 
 class Owner(Protocol):
-    """What this module needs of the replica."""
+    """The part of the replica that this module uses."""
 
     @property
     def node(self) -> node.Node:
@@ -24,20 +24,20 @@
 
     @property
     def failure(self) -> str:
-        """Why the replica has stopped; empty: it runs."""
+        """Why the replica has stopped; empty if it is running."""
 
     def put(self, event: Any) -> None:
-        """Let the core take in an event."""
+        """Pass an event to the core."""
 
     def leadership(self) -> interfaces.Leadership | None:
-        """Return the leadership if this replica holds the leader lease now."""
+        """Return the leadership if this replica holds the leader lease."""
 
-    def removed(self) -> None:
-        """Take part no more: the group has replaced this replica."""
+    def on_removed(self) -> None:
+        """Stop participating, because the group has replaced this replica."""
 
 
 class Joining:
-    """The task that keeps a replica in its group, or finds it one."""
+    """The task that joins a group and watches the membership in it."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self._options = opts
         self._carrier = carrier
         self._steward = steward
-        self._founding = founding.Founding(
+        self._bootstrap = bootstrap.Bootstrap(
             opts.process_id,
             owner.node.replica_id,
             opts.peer_address,
@@ -59,30 +59,33 @@
         )
 
     def listen(self) -> None:
-        """Take the messages of other processes from now on."""
+        """Register the handlers of messages from other processes."""
         self._carrier.on(messages.Probe, self._on_probe)
         self._carrier.on(messages.ProbeReply, self._on_probe_reply)
 
     def learn(self, addresses: tuple[str, ...]) -> None:
-        """Note addresses of processes that may hold the group."""
-        self._founding.learn(addresses)
+        """Record addresses of processes that may be members of the group."""
+        self._bootstrap.learn(addresses)
 
     def run(self) -> None:
-        """Found, join, tend the membership, or ask after it (a task)."""
+        """Bootstrap or join the group; at the leader, maintain the membership (a task).
+
+        A member without contact to a leader asks the others whether it was removed.
+        """
         while True:
             state = self._owner.node
             if not state.members.replicas:
-                self._found_or_wait()
+                self._bootstrap_or_wait()
             elif isinstance(state.role, node.Leader):
                 self._steward.step()
-            elif clock.now() - state.heard_at > _UNHEARD_SECONDS:
+            elif clock.now() - state.leader_contact_at > _NO_LEADER_SECONDS:
                 self._probe_all(is_empty=False)
-            clock.sleep(founding.PROBE_SECONDS)
+            clock.sleep(bootstrap.PROBE_SECONDS)
 
-    def _found_or_wait(self) -> None:
-        first = self._founding.first_membership()
+    def _bootstrap_or_wait(self) -> None:
+        first = self._bootstrap.first_membership()
         if first is not None:
-            self._owner.put(events.Found(first))
+            self._owner.put(events.BootstrapGroup(first))
             return
         self._probe_all(is_empty=True)
 
@@ -91,7 +94,7 @@
         probe = messages.Probe(self._options.process_id, state.replica_id, is_empty)
         known = {each.peer_address for each in state.members.replicas}
         known.discard(self._options.peer_address)
-        for address in known | set(self._founding.addresses()):
+        for address in known | set(self._bootstrap.addresses()):
             self._carrier.send(address, probe)
 
     def _on_probe(self, sender: transport.Sender, probe: messages.Probe) -> None:
@@ -111,20 +114,20 @@
             self._steward.joins(probe, sender.address)
 
     def _has_removed(self, probe: messages.Probe) -> bool:
-        """Tell whether the group, led from here, goes on without the asking replica."""
+        """Return whether this leader's group has removed the requesting replica."""
         if probe.is_empty or self._owner.leadership() is None:
             return False
         state = self._owner.node
-        # A change that is not committed yet could still be undone.
+        # An uncommitted change could still be overwritten by a later leader.
         is_settled = state.membership_index <= state.commit_index
         return is_settled and state.members.find(probe.replica_id) is None
 
     def _on_probe_reply(
         self, sender: transport.Sender, reply: messages.ProbeReply
     ) -> None:
-        self._founding.heard(reply)
+        self._bootstrap.record_reply(reply)
         if reply.addresses:
-            self._founding.learn(reply.addresses)
+            self._bootstrap.learn(reply.addresses)
         is_for_this = reply.asked_by == self._owner.node.replica_id
         if reply.has_removed_asker and is_for_this and not self._owner.failure:
-            self._owner.removed()
+            self._owner.on_removed()
--- a/bilberrydrum/state/leader.py
+++ b/bilberrydrum/state/leader.py
@@ -1,16 +1,16 @@
 """The leader: replication, commit, its lease, and membership changes.
 
-The lease starts when the leader sent the newest message that a majority has answered,
-by the leader's own clock, and lasts one election timeout less the drift margin. The
-followers count from the later moment at which they received it, so that they refuse
-all candidates until after the lease has ended.
+The lease starts when the leader sent the newest message that a majority has
+acknowledged, by the leader's own clock, and lasts one election timeout less the drift
+margin. The followers measure their timeout from the later time at which they received
+the message, so they refuse all candidates until after the lease has expired.
 """
 
 from bilberrydrum.state import events, log, messages, node
 
 
 def start(state: node.Node) -> None:
-    """Lead the current term."""
+    """Become the leader of the current term."""
     first_index = state.log.last_index + 1
     role = node.Leader(
         since=state.now, first_index=first_index, base_time=state.log.last_time
@@ -18,15 +18,15 @@
     state.role = role
     state.effects.append(events.RoleChanged(state.term, True))
     follow_membership(state, role)
-    # Entries of earlier terms are committed only together with one of this term: a
-    # majority that holds an old entry does not keep a later leader from replacing it.
+    # Entries of earlier terms are committed only together with one of this term. Even
+    # if a majority holds an entry of an earlier term, a later leader may overwrite it.
     entry = log.Entry(first_index, state.term, state.log.last_time, log.KIND_NOOP, b"")
     state.append((entry,))
     broadcast(state, role)
 
 
 def follow_membership(state: node.Node, role: node.Leader) -> None:
-    """Keep a progress for each other replica of the newest membership."""
+    """Keep one `Progress` for each other replica of the newest membership."""
     ids = {each.replica_id for each in state.members.replicas}
     for replica_id in ids - set(role.progress_by_id) - {state.replica_id}:
         progress = node.Progress(next_index=state.log.last_index + 1)
@@ -39,7 +39,7 @@
 
 
 def _quorum_value(state: node.Node, role: node.Leader, own: float, name: str) -> float:
-    """Return the highest value of a progress field that a majority has reached."""
+    """Return the highest value of a `Progress` field that a majority has reached."""
     values = []
     for voter_id in state.members.voter_ids():
         if voter_id == state.replica_id:
@@ -52,35 +52,38 @@
 
 
 def lease_end(state: node.Node, role: node.Leader) -> float:
-    """Return until when no other replica can have been elected."""
+    """Return the time until which no other replica can have been elected."""
     acknowledged_at = _quorum_value(state, role, state.now, "acknowledged_at")
     margin = 1.0 - state.settings.drift_margin
     return acknowledged_at + state.settings.election_timeout * margin
 
 
 def is_established(state: node.Node, role: node.Leader) -> bool:
-    """Tell whether an entry of this term is committed, and so all before it."""
+    """Return whether an entry of this term, and so all before it, is committed."""
     return state.commit_index >= role.first_index
 
 
 def reachable_ids(state: node.Node, role: node.Leader) -> set[str]:
-    """Return the replicas heard from within the election timeout, and this one."""
+    """Return the ids of this replica and of those that answered recently.
+
+    Recently means within the election timeout.
+    """
     since = state.now - state.settings.election_timeout
     heard = {
         replica_id
         for replica_id, progress in role.progress_by_id.items()
-        if progress.heard_at >= since
+        if progress.last_contact_at >= since
     }
     return heard | {state.replica_id}
 
 
 def tick(state: node.Node, role: node.Leader) -> None:
-    """Send heartbeats; stop leading if no majority answers."""
-    heard_at = _quorum_value(state, role, state.now, "heard_at")
-    silent_since = max(heard_at, role.since)
+    """Send heartbeats; stop leading if no majority has answered recently."""
+    last_contact_at = _quorum_value(state, role, state.now, "last_contact_at")
+    silent_since = max(last_contact_at, role.since)
     if state.now - silent_since > state.settings.election_timeout:
-        # A leader cut off from the others would go on taking commands that it can
-        # never commit; its clients would wait on it instead of finding the next one.
+        # Otherwise a partitioned leader would go on accepting commands that it cannot
+        # commit, and its clients would wait for it instead of finding the new leader.
         state.become_follower(state.term)
         return
     if state.now >= role.next_heartbeat:
@@ -92,7 +95,7 @@
 
 
 def propose(state: node.Node, event: events.Propose) -> None:
-    """Take commands into the log."""
+    """Append commands to the log and replicate them."""
     role = state.role
     if not isinstance(role, node.Leader):
         state.effects.append(events.NotLeader(event.ticket))
@@ -109,17 +112,18 @@
 
 
 def stamp(state: node.Node, role: node.Leader, wall_time: float) -> float:
-    """Return the time of new entries: the wall clock, but never a falling one.
+    """Return the time of new entries: the wall clock, but never a decreasing one.
 
-    Behind an earlier leader whose clock ran ahead, time goes on from there at the rate
-    of the monotonic clock; standing still, it would let no lease in the state end.
+    If an earlier leader's wall clock was ahead of this one, time continues from there
+    at the rate of the monotonic clock. If it stood still until the wall clock caught
+    up, no lease in the state would expire meanwhile.
     """
     elapsed = state.now - role.since
     return max(wall_time, role.base_time + elapsed, state.log.last_time)
 
 
 def broadcast(state: node.Node, role: node.Leader, is_heartbeat: bool = False) -> None:
-    """Send each replica what it lacks."""
+    """Send each replica the entries or the snapshot chunk that it lacks."""
     for replica_id, progress in role.progress_by_id.items():
         replicate(state, replica_id, progress, is_heartbeat)
 
@@ -130,7 +134,7 @@
     progress: node.Progress,
     is_heartbeat: bool = False,
 ) -> None:
-    """Send one replica the entries or the snapshot part that it lacks."""
+    """Send one replica the entries or the snapshot chunk that it lacks."""
     if progress.next_index <= state.log.base_index:
         _send_snapshot(state, replica_id, progress)
         if is_heartbeat:
@@ -150,7 +154,8 @@
 def _may_send(state: node.Node, progress: node.Progress) -> bool:
     if progress.next_index > state.log.last_index:
         return False
-    # Until the logs are known to agree, one message at a time finds the place.
+    # Until the logs are known to match, one message at a time probes for the index
+    # where they do.
     limit = state.settings.max_appends_in_flight if progress.is_matched else 1
     return len(progress.in_flight) < limit
 
@@ -193,19 +198,19 @@
 
 
 def on_append_reply(state: node.Node, reply: messages.AppendReply) -> None:
-    """Note what a follower holds."""
+    """Process a follower's reply to entries or a heartbeat."""
     role = state.role
     if not isinstance(role, node.Leader) or reply.term != state.term:
         return
     progress = role.progress_by_id.get(reply.sender_id)
     if progress is None:
         return
-    _heard(state, progress, reply.sent_at)
+    _record_contact(state, progress, reply.sent_at)
     if reply.is_success:
-        _matched(state, progress, reply.index)
+        _record_match(state, progress, reply.index)
     elif reply.index < progress.next_index - 1 and reply.index >= progress.match_index:
-        # A lost message left a gap, or the logs differ: go back to where they may
-        # agree.
+        # A message was lost, or the logs conflict: go back to the index where they may
+        # match.
         progress.next_index = reply.index + 1
         progress.is_matched = False
         progress.in_flight.clear()
@@ -214,12 +219,12 @@
         replicate(state, reply.sender_id, progress)
 
 
-def _heard(state: node.Node, progress: node.Progress, sent_at: float) -> None:
-    progress.heard_at = state.now
+def _record_contact(state: node.Node, progress: node.Progress, sent_at: float) -> None:
+    progress.last_contact_at = state.now
     progress.acknowledged_at = max(progress.acknowledged_at, sent_at)
 
 
-def _matched(state: node.Node, progress: node.Progress, index: int) -> None:
+def _record_match(state: node.Node, progress: node.Progress, index: int) -> None:
     if index > state.log.last_index:
         return
     progress.match_index = max(progress.match_index, index)
@@ -230,7 +235,7 @@
 
 
 def advance_commit(state: node.Node, role: node.Leader) -> None:
-    """Commit what a majority holds durably."""
+    """Commit the entries that a majority has synced."""
     own = float(state.durable_index)
     index = int(max(_quorum_value(state, role, own, "match_index"), 0.0))
     if index <= state.commit_index or index < role.first_index:
@@ -238,22 +243,23 @@
     state.commit_to(index)
     broadcast_commit(state, role)
     if state.membership_index <= index and not state.is_voter():
-        # The change that removed this replica is committed: the others go on.
+        # The change that removed this replica is committed; the others elect a leader.
         state.become_follower(state.term)
 
 
 def broadcast_commit(state: node.Node, role: node.Leader) -> None:
-    """Let an established group's heartbeats carry the commit index soon.
+    """Send heartbeats with the commit index soon if the membership has changed.
 
-    Followers apply a little later than the leader; nothing waits for them, so no
-    message of its own is spent unless the membership has just changed.
+    Otherwise followers learn the commit index with the next entries or heartbeat and
+    apply slightly later than the leader; nothing waits for them, so that needs no
+    message of its own.
     """
     if state.membership_index > role.first_index:
         role.next_heartbeat = state.now
 
 
 def on_synced(state: node.Node) -> None:
-    """Count this replica's own sync towards the commit."""
+    """Advance the commit index after this replica's own sync."""
     if isinstance(state.role, node.Leader):
         advance_commit(state, state.role)
 
@@ -262,9 +268,10 @@
 
 
 def _send_snapshot(state: node.Node, replica_id: str, progress: node.Progress) -> None:
-    if state.now - progress.heard_at > state.settings.election_timeout:
-        # Parts for a host that is down would pile up in its connection's queue, a
-        # quarter of a megabyte each time. Heartbeats go on; its answer starts this.
+    if state.now - progress.last_contact_at > state.settings.election_timeout:
+        # Chunks for a host that is down would pile up in its connection's queue, a
+        # quarter of a megabyte each time. Heartbeats continue, and the reply to one
+        # starts the transfer.
         return
     is_same = progress.snapshot_index == state.snapshot_index
     if progress.snapshot_offset is None or not is_same:
@@ -292,19 +299,19 @@
 
 
 def on_snapshot_reply(state: node.Node, reply: messages.SnapshotReply) -> None:
-    """Send the next part, or go on with the log after the last one."""
+    """Send the next chunk, or continue with the log after the last one."""
     role = state.role
     if not isinstance(role, node.Leader) or reply.term != state.term:
         return
     progress = role.progress_by_id.get(reply.sender_id)
     if progress is None:
         return
-    _heard(state, progress, reply.sent_at)
+    _record_contact(state, progress, reply.sent_at)
     if progress.snapshot_offset is None or reply.index != progress.snapshot_index:
         return
     if reply.next_offset < 0:
         progress.snapshot_offset = None
-        _matched(state, progress, reply.index)
+        _record_match(state, progress, reply.index)
         replicate(state, reply.sender_id, progress)
     elif progress.snapshot_index == state.snapshot_index:
         if reply.next_offset < state.snapshot_bytes:
@@ -314,11 +321,11 @@
         _send_snapshot(state, reply.sender_id, progress)
 
 
-# Handover
+# Leadership transfer
 
 
 def successor(state: node.Node, role: node.Leader) -> str:
-    """Return the reachable voter that holds the most, or nothing if there is none."""
+    """Return the id of the most advanced reachable voter; empty if there is none."""
     best_id, best_match = "", -1
     reachable = reachable_ids(state, role)
     for voter_id in state.members.voter_ids():
@@ -330,15 +337,15 @@
     return best_id
 
 
-def give_up(state: node.Node, role: node.Leader) -> None:
-    """Stop leading and ask the most advanced voter to stand at once."""
+def transfer_leadership(state: node.Node, role: node.Leader) -> None:
+    """Stop leading and let the most advanced voter start an election at once."""
     best_id = successor(state, role)
     state.become_follower(state.term)
     replica = state.members.find(best_id)
     if replica is None:
         return
-    # Sent after the lease is given up: the receiver may be elected within it.
-    stand_now = messages.StandNow(
+    # Sent only after the lease is given up, as the receiver may be elected within it.
+    timeout_now = messages.TimeoutNow(
         sender_id=state.replica_id, receiver_id=best_id, term=state.term
     )
-    state.send(replica.peer_address, stand_now)
+    state.send(replica.peer_address, timeout_now)
--- a/bilberrydrum/state/leader_calls.py
+++ b/bilberrydrum/state/leader_calls.py
@@ -125,15 +125,15 @@
         now = clock.now()
         if isinstance(answer, result.Err):
             if self._targets.current == address:
-                self._targets.give_up_current(now)
+                self._targets.skip_current(now)
             # A message that could not be queued was not sent; waiting a little keeps
             # the loop from spinning on it.
             clock.sleep(_SEARCH_SECONDS)
             return None
-        self._targets.heard(address)
+        self._targets.record_answer(address)
         reply = answer.ok_value
         if isinstance(reply, NotLeading) and self._targets.current == address:
             self._targets.learn(reply.addresses)
-            if not self._targets.redirected(now, reply.leader_address):
+            if not self._targets.follow_redirect(now, reply.leader_address):
                 clock.sleep(_SEARCH_SECONDS)
         return reply
--- a/bilberrydrum/state/log.py
+++ b/bilberrydrum/state/log.py
@@ -1,7 +1,7 @@
 """The replicated log's entries, as held in memory.
 
-Entries before `base_index` are covered by a snapshot. Commands stay opaque bytes until
-they are applied, so that replication costs the same whatever a command says.
+Entries up to `base_index` are covered by a snapshot. Commands stay opaque bytes until
+they are applied, so the cost of replication does not depend on their content.
 """
 
 from collections.abc import Iterable, Sequence
@@ -10,7 +10,7 @@
 import attrs
 import msgpack
 
-# The first entry of a leader's term: commits what earlier terms left behind.
+# The first entry of a leader's term. Its commit also commits entries of earlier terms.
 KIND_NOOP: Final = 0
 # A command in a client session: a packed `sessions.SessionCommand`.
 KIND_SESSION: Final = 1
@@ -28,26 +28,30 @@
 
     index: int
     term: int
-    # Wall clock of the leader that took it, in seconds; never below its predecessor's.
+    # Wall clock of the leader that appended it, in seconds; never below that of the
+    # previous entry.
     time: float
     kind: int
     data: bytes
 
 
 def pack(entries: Iterable[Entry]) -> bytes:
-    """Return the bytes of `entries` for the wire and the disk."""
+    """Encode `entries` for messages and for the disk."""
     rows = [(e.index, e.term, e.time, e.kind, e.data) for e in entries]
     return bytes(msgpack.packb(rows))
 
 
 def unpack(data: bytes) -> list[Entry]:
-    """Return the entries in `data`, made by `pack`."""
+    """Decode the entries encoded by `pack`."""
     rows: list[Any] = msgpack.unpackb(data)
     return [Entry(*row) for row in rows]
 
 
 class Log:
-    """The entries after the base, with the base's index, term and time."""
+    """The entries after the base, and the base's index, term and time.
+
+    The base is the last entry that was removed because a snapshot covers it.
+    """
 
     def __init__(
         self,
@@ -78,7 +82,7 @@
         return self._entries[-1].time if self._entries else self.base_time
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of the entry at `index`; None if it is not held."""
+        """Return the term of the entry at `index`; None if it is not in the log."""
         if index == self.base_index:
             return self.base_term
         if not self.base_index < index <= self.last_index:
@@ -86,7 +90,7 @@
         return self._entries[index - self.base_index - 1].term
 
     def entry(self, index: int) -> Entry:
-        """Return the entry at `index`, which must be held."""
+        """Return the entry at `index`, which must be in the log."""
         return self._entries[index - self.base_index - 1]
 
     def between(self, first: int, last: int) -> list[Entry]:
@@ -95,18 +99,18 @@
         return self._entries[start : last - self.base_index]
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Add `entries`, which follow the last one."""
+        """Append `entries`, which follow the last one."""
         self._entries.extend(entries)
         self.n_bytes += sum(len(each.data) for each in entries)
 
     def truncate(self, last_index: int) -> None:
-        """Forget all entries after `last_index`."""
+        """Remove all entries after `last_index`."""
         keep = last_index - self.base_index
         self.n_bytes -= sum(len(each.data) for each in self._entries[keep:])
         del self._entries[keep:]
 
     def compact(self, base_index: int) -> None:
-        """Forget all entries up to `base_index`, which a snapshot covers."""
+        """Remove all entries up to `base_index`, which a snapshot covers."""
         if base_index <= self.base_index:
             return
         base = self.entry(base_index)
@@ -118,7 +122,7 @@
         self.base_time = base.time
 
     def reset(self, base_index: int, base_term: int, base_time: float) -> None:
-        """Forget all entries and start after a snapshot."""
+        """Remove all entries and start after a snapshot."""
         self._entries.clear()
         self.n_bytes = 0
         self.base_index = base_index
--- a/bilberrydrum/state/machine.py
+++ b/bilberrydrum/state/machine.py
@@ -1,7 +1,7 @@
 """The replicated state machine: what commands do to the state.
 
 Commands are attrs classes registered with the codec. Each part of the system defines
-its commands beside their apply functions and keeps its own section of the state:
+its commands next to their apply functions and keeps its own section of the state:
 `bundles.commands`, `requests.claims_state`, `samples.commands`, `state.processes`.
 `apply` is a `singledispatch` function, so a new command needs no change here. An apply
 function must be deterministic: it reads only the command, the state and the context.
@@ -18,23 +18,23 @@
     """The log entry that is being applied."""
 
     index: int
-    # Wall clock of the leader that took the command, in seconds; never falls from one
-    # entry to the next.
+    # Wall clock of the leader that appended the entry, in seconds; never decreases from
+    # one entry to the next.
     time: float
 
 
 @attrs.define
 class State:
-    """All replicated state, a section per part of the system.
+    """All replicated state, with one section for each part of the system.
 
-    A section is an attrs instance of a class registered with the codec; it is made
-    empty the first time it is asked for.
+    A section is an attrs instance of a class registered with the codec; it is created
+    empty when it is first requested.
     """
 
     sections: dict[str, Any] = attrs.field(factory=dict)
 
     def section(self, name: str, factory: type[Any]) -> Any:
-        """Return the section `name`, made by `factory` when there is none."""
+        """Return the section `name`; create it with `factory` if there is none."""
         if name not in self.sections:
             self.sections[name] = factory()
         return self.sections[name]
@@ -48,11 +48,11 @@
 
 @functools.singledispatch
 def keep_rising(section: object, current: Any) -> None:
-    """Raise the numbers in a restored `section` that must not fall.
+    """Raise the numbers in a restored `section` that must never decrease.
 
-    `current` is the section that it replaces, of the same class, or None. Called for
-    each section when a back-up is restored. Without a function for its class, a
-    section holds no such number.
+    Called for each section when a backup is restored. `current` is the section that is
+    replaced, of the same class, or None. A class without a registered function has no
+    such numbers.
     """
 
 
--- a/bilberrydrum/state/membership.py
+++ b/bilberrydrum/state/membership.py
@@ -1,9 +1,10 @@
-"""Who is in the state group, and which changes of it are safe.
+"""The members of the state group, and which membership changes are safe.
 
-A change adds, promotes or removes one replica at a time. Two memberships that differ
-by one voter have no majorities without a common replica, so that two leaders cannot be
-chosen side by side while a change spreads. A replica is known by an id that was made
-with its data folder and is lost with it; its process id and address may come back.
+A change adds, promotes or removes one replica at a time. Any majorities of two
+memberships that differ by one voter have a replica in common, so two leaders cannot be
+elected in the same term while a change is being replicated. A replica is identified by
+an id that is created with its data folder and lost with it; its process id and address
+may be used again by a later replica.
 """
 
 from collections.abc import Collection
@@ -27,7 +28,7 @@
     process_id: str
     # Address of the process's ROUTER, ``IP:port``.
     peer_address: str
-    # A learner receives the log but neither votes nor counts for a commit.
+    # A learner (False) receives the log but neither votes nor counts for a commit.
     is_voter: bool = True
 
 
@@ -50,11 +51,11 @@
         return [each.replica_id for each in self.replicas if each.is_voter]
 
     def majority(self) -> int:
-        """Return how many voters make a majority."""
+        """Return the number of voters that form a majority."""
         return len(self.voter_ids()) // 2 + 1
 
     def is_majority(self, replica_ids: Collection[str]) -> bool:
-        """Tell whether `replica_ids` hold a majority of the voters."""
+        """Return whether `replica_ids` include a majority of the voters."""
         n_votes = sum(1 for each in self.voter_ids() if each in replica_ids)
         return n_votes >= self.majority()
 
@@ -69,13 +70,13 @@
 
 @attrs.frozen
 class Refusal:
-    """A change that is not made, and why."""
+    """The reason why a change is refused."""
 
     detail: str
 
 
-def changed(membership: Membership, change: Change) -> Membership | Refusal:
-    """Return the membership after `change`, or why the change makes no sense."""
+def apply_change(membership: Membership, change: Change) -> Membership | Refusal:
+    """Return the membership after `change`, or why it cannot be applied."""
     replica = change.replica
     known = membership.find(replica.replica_id)
     others = tuple(
@@ -83,13 +84,13 @@
     )
     if change.kind == ADD_LEARNER:
         if known is not None:
-            return Refusal(f"replica {replica.replica_id} is a member already")
+            return Refusal(f"replica {replica.replica_id} is already a member")
         return Membership((*others, attrs.evolve(replica, is_voter=False)))
     if known is None:
         return Refusal(f"replica {replica.replica_id} is not a member")
     if change.kind == PROMOTE:
         if known.is_voter:
-            return Refusal(f"replica {replica.replica_id} has a vote already")
+            return Refusal(f"replica {replica.replica_id} is already a voter")
         return Membership((*others, attrs.evolve(known, is_voter=True)))
     if known.is_voter and len(membership.voter_ids()) == 1:
         return Refusal("the last voter cannot be removed")
@@ -101,8 +102,9 @@
 ) -> Refusal | None:
     """Return why `after` would have no reachable majority, or None if it has one.
 
-    Removing a reachable replica while another is lost can leave fewer voters than a
-    majority: the group would then commit nothing, this change's undoing included.
+    Removing a reachable replica while another is lost can leave fewer reachable voters
+    than a majority. The group could then commit nothing, not even the reversal of the
+    change.
     """
     if set(before.voter_ids()) == set(after.voter_ids()):
         return None
--- a/bilberrydrum/state/messages.py
+++ b/bilberrydrum/state/messages.py
@@ -1,8 +1,9 @@
 """Messages between replicas, and between clients and replicas.
 
-Each message between replicas names the replica it is for: a host that lost its disk
-comes back at the same address under a new id, and must not answer for the old one.
-Times in messages are the leader's own monotonic clock, echoed by the follower.
+Each message between replicas carries the id of its receiver. A host that lost its disk
+rejoins at the same address under a new replica id, and must not vote or acknowledge
+entries in the name of the old one. Times in messages are of the leader's monotonic
+clock; followers echo them.
 """
 
 import attrs
@@ -12,7 +13,7 @@
 
 @attrs.frozen(kw_only=True)
 class PeerMessage:
-    """What every message between replicas carries."""
+    """Fields of every message between replicas."""
 
     sender_id: str
     receiver_id: str
@@ -22,19 +23,19 @@
 @codec.register("state.vote-request")
 @attrs.frozen(kw_only=True)
 class VoteRequest(PeerMessage):
-    """A candidate asks for a vote; in a pre-vote `term` is the one it would start."""
+    """A candidate requests a vote; in a pre-vote, `term` is the next term."""
 
     last_index: int
     last_term: int
     is_pre_vote: bool = False
-    # The old leader has given up its lease and named the candidate.
+    # Whether the previous leader gave up its lease in favour of the candidate.
     is_transfer: bool = False
 
 
 @codec.register("state.vote-reply")
 @attrs.frozen(kw_only=True)
 class VoteReply(PeerMessage):
-    """The answer to a `VoteRequest`; `term` is the asked one if it is granted."""
+    """The reply to `VoteRequest`; if granted, `term` is the requested one."""
 
     is_granted: bool
     is_pre_vote: bool = False
@@ -42,17 +43,18 @@
 
 @codec.register("state.ask-leading")
 @attrs.frozen(kw_only=True)
-class AskLeading(PeerMessage):
-    """A replica that has just started asks whether the receiver leads."""
+class LeadershipQuery(PeerMessage):
+    """A replica that has just started asks whether the receiver is the leader."""
 
-    # Drawn at the start: an answer to an earlier life of the sender does not count.
+    # Random number of the sender's incarnation. A reply to an earlier incarnation is
+    # ignored.
     start_number: int
 
 
 @codec.register("state.leading")
 @attrs.frozen(kw_only=True)
-class Leading(PeerMessage):
-    """The answer to `AskLeading`."""
+class LeadershipReply(PeerMessage):
+    """The reply to `LeadershipQuery`."""
 
     start_number: int
     is_leading: bool
@@ -61,23 +63,24 @@
 @codec.register("state.append")
 @attrs.frozen(kw_only=True)
 class Append(PeerMessage):
-    """Entries that follow `previous_index`; without entries it is a heartbeat."""
+    """Entries that follow `previous_index`; a heartbeat if there are none."""
 
     previous_index: int
     previous_term: int
     commit_index: int
     sent_at: float
-    # Made by `log.pack`.
+    # Encoded by `log.pack`.
     entries: bytes = b""
 
 
 @codec.register("state.append-reply")
 @attrs.frozen(kw_only=True)
 class AppendReply(PeerMessage):
-    """What a follower holds durably, or where the logs may still agree."""
+    """The reply to `Append`: acceptance, or where the logs may still match."""
 
     is_success: bool
-    # Success: the last durable index known to agree. Else: the last index to try.
+    # On success, the last durable index known to match the leader's log. Otherwise, the
+    # highest index at which the logs may match.
     index: int
     sent_at: float
 
@@ -85,7 +88,7 @@
 @codec.register("state.snapshot-chunk")
 @attrs.frozen(kw_only=True)
 class SnapshotChunk(PeerMessage):
-    """A part of a snapshot's bytes."""
+    """A chunk of a snapshot's bytes."""
 
     index: int
     offset: int
@@ -97,43 +100,45 @@
 @codec.register("state.snapshot-reply")
 @attrs.frozen(kw_only=True)
 class SnapshotReply(PeerMessage):
-    """The offset of the part that the follower needs next."""
+    """The reply to `SnapshotChunk`."""
 
     index: int
+    # Offset of the chunk that the follower needs next; -1 if it has the snapshot.
     next_offset: int
     sent_at: float
 
 
 @codec.register("state.stand-now")
 @attrs.frozen(kw_only=True)
-class StandNow(PeerMessage):
-    """The leader stops leading and asks the receiver to stand for election."""
+class TimeoutNow(PeerMessage):
+    """The leader stops leading; the receiver starts an election at once."""
 
 
 @codec.register("state.probe")
 @attrs.frozen
 class Probe:
-    """A process asks what its peer knows of the group."""
+    """A process asks its peer what it knows about the group."""
 
     process_id: str
     replica_id: str
-    # The asking replica holds no membership and looks for one that has it.
+    # Whether the asking replica has no membership and looks for the group.
     is_empty: bool
 
 
 @codec.register("state.probe-reply")
 @attrs.frozen
 class ProbeReply:
-    """What the asked process knows of the group."""
+    """The reply to `Probe`: what the asked process knows about the group."""
 
     process_id: str
     replica_id: str
     is_empty: bool
     # The replica id in the probe.
     asked_by: str
-    # Addresses of the members that the asked process knows.
+    # Addresses of the members known to the asked process.
     addresses: tuple[str, ...] = ()
-    # The asked process leads and has committed a membership without the asking replica.
+    # Whether the asked process leads and has committed a membership without the asking
+    # replica.
     has_removed_asker: bool = False
 
 
@@ -149,7 +154,7 @@
 @codec.register("state.open-session")
 @attrs.frozen
 class OpenSession:
-    """A client asks for a session."""
+    """A client requests a session."""
 
     client_id: str
 
@@ -157,7 +162,7 @@
 @codec.register("state.session-opened")
 @attrs.frozen
 class SessionOpened:
-    """The answer to `OpenSession`."""
+    """The reply to `OpenSession`."""
 
     client_id: str
     session_id: int
@@ -170,7 +175,7 @@
 
     client_id: str
     session_id: int
-    # Answers to numbers below this one have all been received or are not wanted.
+    # Answers to commands with lower numbers were received or are not needed.
     lowest_pending: int
     items: list[Item]
 
@@ -197,9 +202,9 @@
 @codec.register("state.redirect")
 @attrs.frozen
 class Redirect:
-    """The asked replica does not lead: nothing named here was or will be taken.
+    """The asked replica does not lead; none of the numbered items was or will be run.
 
-    Without `leader_address` the client looks on among `addresses`.
+    If `leader_address` is empty, the client tries the replicas at `addresses`.
     """
 
     client_id: str
@@ -212,7 +217,7 @@
 @codec.register("state.failed")
 @attrs.frozen
 class Failed:
-    """The command's or query's function raised, or its class is not known."""
+    """The command's or query's function raised, or its class is unknown."""
 
     detail: str
 
@@ -220,7 +225,7 @@
 @codec.register("state.session-lost")
 @attrs.frozen
 class SessionLost:
-    """The session is not known any more; the numbered commands were not taken."""
+    """The session does not exist; the numbered commands were not applied."""
 
     client_id: str
     session_id: int
--- a/bilberrydrum/state/reconfiguration.py
+++ b/bilberrydrum/state/reconfiguration.py
@@ -1,8 +1,8 @@
-"""Membership changes at the leader: when one may be made, and its entry.
+"""Membership changes at the leader: which are allowed, and their log entries.
 
-A membership is in force at a replica as soon as its entry is in the log there,
-committed or not. What is refused here could leave two majorities that do not meet, or
-none.
+A membership is in force at a replica as soon as its entry is in the replica's log,
+whether committed or not. The changes refused here could lead to two majorities without
+a common replica, or to no reachable majority.
 """
 
 from bilberrydrum import codec
@@ -10,7 +10,7 @@
 
 
 def propose_change(state: node.Node, event: events.ProposeChange) -> None:
-    """Take one membership change into the log, or say why not."""
+    """Append one membership change to the log, or refuse it with a reason."""
     role = state.role
     if not isinstance(role, node.Leader):
         state.effects.append(events.NotLeader(event.ticket))
@@ -19,7 +19,7 @@
     if refusal is not None:
         state.effects.append(events.ChangeRefused(event.ticket, refusal.detail))
         return
-    after = membership.changed(state.members, event.change)
+    after = membership.apply_change(state.members, event.change)
     assert isinstance(after, membership.Membership)
     item = (log.KIND_MEMBERSHIP, codec.encode(after))
     first_index = state.log.last_index + 1
@@ -35,19 +35,20 @@
 def _check_change(
     state: node.Node, role: node.Leader, change: membership.Change
 ) -> membership.Refusal | None:
-    # A change left behind by an earlier leader may not be settled yet; together with
-    # it, this one could give two majorities without a common replica.
+    # A change appended by an earlier leader may still be uncommitted. Together with it,
+    # this one could lead to two majorities without a common replica.
     if not leader.is_established(state, role):
         return membership.Refusal("the leader has not committed in its term yet")
-    # So could a second change before the first is committed.
+    # The same holds for a second change before the first is committed.
     if state.membership_index > state.commit_index:
         return membership.Refusal("another change is under way")
-    after = membership.changed(state.members, change)
+    after = membership.apply_change(state.members, change)
     if isinstance(after, membership.Refusal):
         return after
     if change.kind == membership.PROMOTE:
         progress = role.progress_by_id.get(change.replica.replica_id)
-        # A vote before it has caught up would make each commit wait for its catch-up.
+        # If it became a voter before it has caught up, commits could have to wait until
+        # it has.
         if progress is None or progress.match_index < role.first_index:
             return membership.Refusal("the learner has not caught up yet")
     return membership.check_majority(
--- a/bilberrydrum/state/remote.py
+++ b/bilberrydrum/state/remote.py
@@ -173,7 +173,7 @@
     def _send_batches(self, due: list[_Pending], now: float, is_query: bool) -> None:
         if any(each.n_tries for each in due) and now - self._heard_at > _RESEND_SECONDS:
             # Sent before and nothing heard since: the replica may be gone.
-            self._targets.give_up_current(now)
+            self._targets.skip_current(now)
         for pending in due:
             # Sent again, a command stays in its session: only that one knows whether
             # it was applied.
@@ -204,7 +204,7 @@
         if now - self._session_asked_at < _RESEND_SECONDS:
             return
         if self._session_asked_at > self._heard_at:
-            self._targets.give_up_current(now)
+            self._targets.skip_current(now)
         self._session_asked_at = now
         self._carrier.send(self._targets.current, messages.OpenSession(self._client_id))
 
@@ -229,7 +229,7 @@
         now = self._heard(sender)
         if sender.address == self._targets.current:
             self._targets.learn(redirect.addresses)
-            if not self._targets.redirected(now, redirect.leader_address):
+            if not self._targets.follow_redirect(now, redirect.leader_address):
                 self._search_at = now + _SEARCH_SECONDS
         self._session_asked_at = float("-inf")
         pending_by_number = self._queries if redirect.is_query else self._commands
@@ -244,7 +244,7 @@
 
     def _heard(self, sender: transport.Sender) -> float:
         self._heard_at = clock.now()
-        self._targets.heard(sender.address)
+        self._targets.record_answer(sender.address)
         return self._heard_at
 
     def _on_session_opened(
--- a/bilberrydrum/state/replica.py
+++ b/bilberrydrum/state/replica.py
@@ -1,8 +1,8 @@
-"""The replica task: carries out what the replication core decides.
+"""The replica task: carries out the effects of the replication core.
 
-One task owns the core and takes its events from a queue; a second applies committed
-entries; a third, in `disk`, writes and syncs. Only the core decides; this module moves
-messages, and answers clients when their entries are applied.
+One task owns the core and reads its events from a queue, a second applies committed
+entries, and a third, in `disk`, writes and syncs. All decisions are made by the core;
+this module transfers messages and answers clients when their entries are applied.
 """
 
 import random
@@ -47,23 +47,24 @@
     storage,
 )
 
-# A snapshot leaves this share of its entries in the log, for followers a little late.
+# A snapshot leaves one in this many of its entries in the log, so that a follower that
+# is slightly behind does not need the snapshot.
 _KEPT_DIVISOR: Final = 10
-# Time for the last messages to leave.
+# Time for the last messages to be sent when the replica stops.
 _HANDOVER_SECONDS: Final = 0.05
-# Time the disk may take to end what it is writing when the replica stops.
+# Maximum time to wait for pending disk writes when the replica stops.
 _STOP_SECONDS: Final = 5.0
-# Why a replica takes part no more that its group has replaced.
+# Failure text of a replica that its group has replaced.
 REMOVED: Final = "removed from the group"
-# Events taken by the core before other tasks run.
+# Number of events that the core processes before other tasks run.
 _EVENT_SLICE: Final = 256
 
 
 @attrs.frozen
 class LeaderHint:
-    """Where to look for the leader of the group."""
+    """The addresses at which the group's leader may be found."""
 
-    # Empty: not known.
+    # Empty if the leader is not known.
     leader_address: str = ""
     # Addresses of all members.
     addresses: tuple[str, ...] = ()
@@ -93,15 +94,15 @@
         self._is_disk_fault = False
         self._role_watchers: list[Callable[[], None]] = []
 
-    # Life
+    # Lifecycle
 
     def start(self) -> None:
-        """Open the data folder and take part in the group.
+        """Open the data folder and start participating in the group.
 
         Raises
         ------
         storage.DamageError
-            If the data folder is damaged; the replica must not go on with it.
+            If the data folder is damaged; the replica must not use it.
         """
         recovered, data = self._store.open()
         if data:
@@ -131,19 +132,19 @@
             self._tasks.append(eventlet.spawn(self._guard, task))
 
     def stop(self) -> None:
-        """Hand the leadership over and stop; harmless before `start`."""
+        """Transfer the leadership and stop; does nothing before `start`."""
         if self._failure:
-            # Not started, or ended by `_guard` with all its tasks.
+            # Not started, or already stopped by `_guard` with all its tasks.
             return
-        self._carry_out(self._core.step(clock.now(), events.GiveUpLeadership()))
+        self._carry_out(self._core.step(clock.now(), events.TransferLeadership()))
         self._intake.waiters.outbox.flush()
         clock.sleep(_HANDOVER_SECONDS)
         self._failure = "stopped"
         *others, disk_task = self._tasks
         for task in others:
             task.kill()
-        # Its thread may be writing: closed under it, the file's descriptor could name
-        # another file by the time of the write.
+        # The disk task's thread may be writing. If the file were closed meanwhile, its
+        # descriptor could refer to another file by the time of the write.
         self._disk.put(disk.Stop())
         with eventlet.Timeout(_STOP_SECONDS, False):
             disk_task.wait()
@@ -151,10 +152,10 @@
         self._tasks.clear()
 
     def _guard(self, task: Callable[[], None]) -> None:
-        """Run a task; an error in it stops the whole replica, never half of it.
+        """Run a task; an error in it stops all tasks of the replica.
 
-        A replica whose disk fails but that goes on answering would acknowledge what it
-        cannot keep. Silent, it is replaced like a lost host.
+        If a replica kept answering after its disk failed, it would acknowledge entries
+        that it cannot store. A stopped replica is replaced like a lost host.
         """
         try:
             task()
@@ -169,25 +170,25 @@
         for message_class in (
             messages.VoteRequest,
             messages.VoteReply,
-            messages.AskLeading,
-            messages.Leading,
+            messages.LeadershipQuery,
+            messages.LeadershipReply,
             messages.Append,
             messages.AppendReply,
             messages.SnapshotChunk,
             messages.SnapshotReply,
-            messages.StandNow,
+            messages.TimeoutNow,
         ):
             self._carrier.on(message_class, self._on_peer)
 
-    # What the process sees (interfaces.Replica)
+    # Interface to the process (interfaces.Replica)
 
     def leadership(self) -> interfaces.Leadership | None:
-        """Return the leadership if this replica holds the leader lease now."""
+        """Return the leadership if this replica holds the leader lease."""
         role = self.node.role if not self._failure else None
         if not isinstance(role, node.Leader) or not self.has_lease():
             return None
-        # Committed is not yet applied: a new leader that acted on its state at once
-        # could hand out a bundle older than one that its predecessor answered for.
+        # Committed entries may not be applied yet. A new leader that acted on its state
+        # before that could serve an older bundle than its predecessor confirmed.
         if self._applier.index < role.first_index:
             return None
         return interfaces.Leadership(self._core.node.term, self._led_since)
@@ -201,11 +202,11 @@
         self._applier.watch(callback)
 
     def watch_role(self, callback: Callable[[], None]) -> None:
-        """Call `callback()` when this replica is elected, or leads no more."""
+        """Call `callback()` when this replica is elected or stops leading."""
         self._role_watchers.append(callback)
 
     def is_elected(self) -> bool:
-        """Tell whether this replica leads or is about to: it may lack the lease yet."""
+        """Return whether this replica is elected; it may not hold the lease yet."""
         return not self._failure and isinstance(self.node.role, node.Leader)
 
     def propose(
@@ -237,7 +238,7 @@
     def change_members(
         self, change: membership.Change, timeout: float = 5.0
     ) -> str | None:
-        """Make one membership change; return why it is not made, or None."""
+        """Make one membership change; return why it failed, or None."""
         done = eventlet.event.Event()
         ticket = self.next_ticket()
         self._changes_by_ticket[ticket] = done
@@ -254,7 +255,7 @@
         return self._core.node
 
     def status(self) -> queries.Status:
-        """Return how the group stands as this replica sees it."""
+        """Return the state of the group as seen by this replica."""
         return stewardship.status(
             self._core,
             self._applier.index,
@@ -263,21 +264,21 @@
         )
 
     def has_lease(self) -> bool:
-        """Tell whether this replica holds the leader lease now."""
+        """Return whether this replica holds the leader lease."""
         now = clock.now()
         return not self._failure and self._core.lease_end(now) > now
 
     @property
     def failure(self) -> str:
-        """Why the replica has stopped; empty: it runs."""
+        """Why the replica has stopped; empty if it is running."""
         return self._failure
 
     def save(self, request: serving.Save) -> None:
-        """Have the state encoded, and the query for it answered."""
+        """Queue a request to encode the state and answer the query for it."""
         self._apply.put(request)
 
     def put(self, event: Any) -> None:
-        """Let the core take in an event."""
+        """Pass an event to the core."""
         self._inbox.put(event)
 
     # The core's task
@@ -319,7 +320,7 @@
             elif isinstance(effect, events.RoleChanged):
                 self._on_role(effect)
             else:
-                self._on_placed(effect)
+                self._on_proposal_result(effect)
 
     def _on_role(self, effect: events.RoleChanged) -> None:
         self._led_since = clock.now()
@@ -331,18 +332,18 @@
         for callback in self._role_watchers:
             callback()
 
-    def _on_placed(self, effect: Any) -> None:
-        """Tell what became of proposals."""
+    def _on_proposal_result(self, effect: Any) -> None:
+        """Pass on the result of a proposal."""
         change = self._changes_by_ticket.pop(effect.ticket, None)
         if change is not None:
-            self._on_change_placed(effect, change)
+            self._on_change_result(effect, change)
         else:
             self._intake.placed(effect)
 
-    def _on_change_placed(self, effect: Any, change: eventlet.event.Event) -> None:
+    def _on_change_result(self, effect: Any, change: eventlet.event.Event) -> None:
         if isinstance(effect, events.Accepted):
-            # Answered like a command once the entry is applied.
-            waiter = serving.Waiter(effect.term, done=_change_end(change))
+            # The result is reported once the entry is applied, as for a command.
+            waiter = serving.Waiter(effect.term, done=_change_callback(change))
             self._intake.waiters.add(effect.first_index, waiter)
         elif isinstance(effect, events.ChangeRefused):
             change.send(effect.detail)
@@ -372,7 +373,7 @@
     # Messages
 
     def next_ticket(self) -> int:
-        """Return a number for a proposal."""
+        """Return a new number that identifies a proposal."""
         self._last_ticket += 1
         return self._last_ticket
 
@@ -380,49 +381,50 @@
         if not self._failure:
             self._inbox.put(events.Received(sender.address, message))
 
-    # Founding and membership
+    # Bootstrap and membership
 
-    def removed(self) -> None:
-        """Take part no more: the group has replaced this replica.
+    def on_removed(self) -> None:
+        """Stop participating, because the group has replaced this replica.
 
-        Its process may come back as a new replica once the folder is emptied.
+        Its process may join again as a new replica once the folder is emptied.
         """
         eliot.log_message(message_type="state:removed", replica_id=self.node.replica_id)
         self._failure = REMOVED
 
     def fail(self, error: Exception) -> None:
-        """Take part no more because of `error`."""
+        """Stop participating because of `error`."""
         self._failure = f"{type(error).__name__}: {error}"
         self._is_disk_fault = isinstance(error, OSError)
 
-    def waits_for_disk(self) -> bool:
-        """Tell whether the disk that ended this replica still refuses writes."""
-        return self._is_disk_fault and not tpool.execute(self._store.takes_writes)
+    def is_waiting_for_disk(self) -> bool:
+        """Return whether a disk fault stopped this replica and writes still fail."""
+        return self._is_disk_fault and not tpool.execute(self._store.accepts_writes)
 
     def discard(self) -> None:
-        """Have the data folder emptied at its next opening.
+        """Mark the data folder to be emptied when it is next opened.
 
-        For a replica that was removed, or whose folder is damaged: its process then
-        joins again under a new replica id and vouches for nothing that it lost.
+        Used for a replica that was removed or whose folder is damaged. Its process
+        then joins again under a new replica id, so that it acknowledges nothing that it
+        lost.
         """
         eliot.log_message(message_type="state:discarded", detail=self._failure)
         tpool.execute(self._store.discard)
 
     def learn(self, addresses: tuple[str, ...]) -> None:
-        """Note addresses of processes that may hold the group."""
+        """Record addresses of processes that may be members of the group."""
         if not self._failure:
             self._joining.learn(addresses)
 
     def replace_processes(self, process_ids: frozenset[str]) -> None:
-        """Have the replicas of these processes replaced while this replica leads."""
+        """Replace the replicas of these processes while this replica leads."""
         self._steward.leaving_process_ids = process_ids
 
     def spread_over(self, zones_by_process_id: Mapping[str, str]) -> None:
-        """Have lost replicas replaced in the zones that hold the fewest."""
+        """Replace lost replicas in the zones with the fewest replicas."""
         self._steward.zones_by_process_id = zones_by_process_id
 
     def leader_hint(self) -> LeaderHint:
-        """Return who is believed to lead, and all members' addresses."""
+        """Return the presumed leader's address and all members' addresses."""
         if self._failure:
             return LeaderHint()
         role = self.node.role
@@ -431,11 +433,13 @@
         return LeaderHint(address, members)
 
 
-def _change_end(asked: eventlet.event.Event) -> Callable[[serving.End], None]:
-    """Return what tells who asked for a change of its entry's end."""
+def _change_callback(
+    change_done: eventlet.event.Event,
+) -> Callable[[serving.End], None]:
+    """Return a callback that reports the outcome of a change's entry."""
 
-    def end(given: serving.End) -> None:
-        is_applied = isinstance(given, applier.Applied)
-        asked.send(None if is_applied else "another leader took over")
+    def on_end(outcome: serving.End) -> None:
+        is_applied = isinstance(outcome, applier.Applied)
+        change_done.send(None if is_applied else "another leader took over")
 
-    return end
+    return on_end
--- a/bilberrydrum/state/snapshot.py
+++ b/bilberrydrum/state/snapshot.py
@@ -1,8 +1,8 @@
 """Snapshots: the applied state as bytes, with a digest.
 
-A snapshot is 32 bytes of SHA-256 and a msgpack list of the format's number, the last
-applied entry's index, term and time, the membership, and the sections of the state by
-name, each as codec bytes. A section that is not read is not decoded.
+A snapshot consists of a 32-byte SHA-256 digest and a msgpack list of the format number,
+the last applied entry's index, term and time, the membership, and the sections of the
+state by name, each as codec bytes. Reading the header does not decode the sections.
 """
 
 import hashlib
@@ -19,12 +19,12 @@
 
 
 class SnapshotError(Exception):
-    """The bytes are not a whole snapshot of a known format."""
+    """The bytes are not a complete snapshot of a known format."""
 
 
 @attrs.frozen
 class Header:
-    """Where in the log a snapshot stands."""
+    """The last log entry that a snapshot covers, and the membership there."""
 
     index: int
     term: int
@@ -55,7 +55,9 @@
         raise SnapshotError("the snapshot's digest does not match its content")
     fields: list[Any] = msgpack.unpackb(body)
     if fields[0] != FORMAT:
-        raise SnapshotError(f"snapshot format {fields[0]} is not known")
+        raise SnapshotError(
+            f"unknown snapshot format: expected {FORMAT}, got {fields[0]}"
+        )
     return fields
 
 
--- a/bilberrydrum/state/stewardship.py
+++ b/bilberrydrum/state/stewardship.py
@@ -107,7 +107,7 @@
         if is_removal and change.replica.replica_id == state.replica_id:
             # Removed while it leads, the group would stand without a leader for an
             # election timeout; handed over, it goes on at once.
-            self._replica.put(events.GiveUpLeadership())
+            self._replica.put(events.TransferLeadership())
             return
         self._make(change)
 
@@ -117,7 +117,7 @@
         lost_ids = frozenset(
             replica_id
             for replica_id, progress in role.progress_by_id.items()
-            if now - max(progress.heard_at, role.since) > opts.lost_seconds
+            if now - max(progress.last_contact_at, role.since) > opts.lost_seconds
         )
         return steward.Policy(
             opts.n_voters, lost_ids, self.leaving_process_ids, self.zones_by_process_id
--- a/bilberrydrum/state/storage.py
+++ b/bilberrydrum/state/storage.py
@@ -1,10 +1,10 @@
 """The replica's data folder: its id, the log in segments, and the snapshot.
 
-`replica-id` is made with the folder. `log-N` is a segment: a head with the segment's
-salt, then frames (see `frames`); the first frame of each repeats the hard state, so
-that older segments can be removed. `snapshot-INDEX` is whole or not there: it is
-written beside, synced, and renamed. All calls block; the replica makes them in a
-thread.
+`replica-id` is written when the folder is created. `log-N` is a segment: a header with
+the segment's salt, then frames (see `frames`). The first frame of each segment repeats
+the hard state, so that older segments can be removed. `snapshot-INDEX` is either
+complete or absent: it is written under another name, synced, and renamed. All calls
+block; the replica makes them in a thread.
 """
 
 import os
@@ -35,10 +35,10 @@
 
 
 class DamageError(Exception):
-    """The data folder holds what no crash can leave behind.
+    """The data folder is in a state that no crash can produce.
 
-    The replica must not go on with it: an entry or a vote that it acknowledged may be
-    gone. Its folder is to be moved away; the host then joins under a new replica id.
+    The replica must not use it: an entry or a vote that it acknowledged may be lost.
+    The folder has to be moved away; the host then joins under a new replica id.
     """
 
 
@@ -48,19 +48,19 @@
     salt: bytes
     n_bytes: int = 0
     n_frames: int = 0
-    # Highest index of an entry in it.
+    # Highest index of an entry in the segment.
     last_index: int = 0
 
 
 @attrs.define
 class _Replay:
-    """What the frames say, replayed in order."""
+    """The hard state and the entries, replayed from the frames in order."""
 
     hard_state: events.HardState = attrs.field(factory=events.HardState)
     entries: list[log.Entry] = attrs.field(factory=list)
 
-    def take(self, payload: bytes, segment: _Segment) -> None:
-        """Take in one frame."""
+    def apply_frame(self, payload: bytes, segment: _Segment) -> None:
+        """Apply the records of one frame."""
         for kind, value in msgpack.unpackb(payload):
             if kind == _RECORD_HARD_STATE:
                 self.hard_state = events.HardState(*value)
@@ -74,7 +74,7 @@
     def _add(self, entries: list[log.Entry]) -> None:
         first = entries[0].index
         if self.entries and first <= self.entries[-1].index:
-            # A later leader's entries replace what an earlier one left behind.
+            # A later leader's entries overwrite those of an earlier leader.
             del self.entries[max(first - self.entries[0].index, 0) :]
         if self.entries and first != self.entries[-1].index + 1:
             raise DamageError(f"the log has a gap before entry {first}")
@@ -82,7 +82,7 @@
 
 
 class Storage:
-    """The data folder, opened by one replica."""
+    """The data folder of one replica."""
 
     def __init__(
         self, disk: files.Files, folder: str, segment_bytes: int = SEGMENT_BYTES
@@ -97,12 +97,12 @@
     # Opening
 
     def open(self) -> tuple[node.Recovered, bytes]:
-        """Return what the folder holds and the snapshot's bytes, if any.
+        """Return the recovered data and the snapshot's bytes, if there is one.
 
         Raises
         ------
         DamageError
-            If something synced before is missing or damaged.
+            If data that was synced before is missing or damaged.
         """
         self._disk.make_folder(self._folder)
         self._empty_if_discarded()
@@ -114,27 +114,28 @@
         replay = self._replay(names)
         self._hard_state = replay.hard_state
         recovered = self._recovered(replica_id, data, replay)
-        self._sync_read()
+        self._sync_recovered()
         self._start_segment(is_reset=_is_behind(recovered, replay.entries))
         return recovered, data
 
     def discard(self) -> None:
-        """Have the folder emptied at its next opening.
+        """Mark the folder to be emptied when it is next opened.
 
-        For a replica that its group has replaced. Its files go only once the mark is
-        synced: half of them gone without a mark would look like damage.
+        Used for a replica that its group has replaced. The files are removed only once
+        the mark is synced: a folder with only some of them and no mark would be
+        classified as damaged.
         """
         self._replace(_DISCARD_NAME, b"")
 
-    def takes_writes(self) -> bool:
-        """Tell whether the disk takes a write and its sync now."""
+    def accepts_writes(self) -> bool:
+        """Return whether a write to the disk and its sync succeed."""
         path = self._path(_PROBE_NAME + _PART_SUFFIX)
         try:
             self._disk.make_folder(self._folder)
             self._disk.write(path, b"probe" * 1024)
             self._disk.remove(path)
         except OSError:
-            # Full or failing: the caller asks again.
+            # The disk is full or failing; the caller tries again later.
             return False
         return True
 
@@ -149,13 +150,13 @@
         self._disk.remove(self._path(_DISCARD_NAME))
         self._disk.sync_folder(self._folder)
 
-    def _sync_read(self) -> None:
-        """Make what was read last.
+    def _sync_recovered(self) -> None:
+        """Sync the data that was read.
 
-        A process that was killed in the middle of a write leaves bytes that were never
-        synced, and names that were not. Its next life counts them as held and answers
-        for them; unsynced, the next loss of power would take them from under it.
-        Only the last segment can have such bytes: each is synced before the next.
+        A process that is killed in the middle of a write leaves bytes and names that
+        were never synced. Its next incarnation treats them as stored and acknowledges
+        them; without this sync, the next power loss would erase them. Only the last
+        segment can have such bytes, as each is synced before the next one is created.
         """
         if self._segments:
             self._disk.sync(self._path(f"{_LOG_PREFIX}{self._segments[-1].number}"))
@@ -171,7 +172,7 @@
                 raise DamageError(f"{self._path(_ID_NAME)} is damaged")
             return replica_id
         if any(each.startswith((_LOG_PREFIX, _SNAPSHOT_PREFIX)) for each in names):
-            # The id is synced before the first segment is made.
+            # The id is synced before the first segment is created.
             raise DamageError(f"{self._folder} has a log but no {_ID_NAME}")
         replica_id = uuid.uuid4().hex
         self._replace(_ID_NAME, replica_id.encode())
@@ -203,7 +204,7 @@
             path = self._path(f"{_LOG_PREFIX}{number}")
             self._replay_segment(path, number, number == numbers[-1], replay)
         if numbers and numbers != list(range(numbers[0], numbers[-1] + 1)):
-            raise DamageError(f"{self._folder} lacks a segment of the log")
+            raise DamageError(f"{self._folder} lacks a log segment")
         return replay
 
     def _replay_segment(
@@ -215,11 +216,12 @@
         self._segments.append(segment)
         is_whole = data.startswith(_SEGMENT_MAGIC) and len(salt) == _N_SALT_BYTES
         if not is_whole and not is_last:
-            raise DamageError(f"{path}: the segment's head is damaged")
+            raise DamageError(f"{path}: the segment header is damaged")
         if not is_whole:
-            # Its head is synced before the first frame is written.
+            # The header is synced before the first frame is written, so a segment with
+            # an incomplete header has no frames.
             if len(data) > _N_HEAD_BYTES:
-                raise DamageError(f"{path}: the segment's head is damaged")
+                raise DamageError(f"{path}: the segment header is damaged")
             self._segments.pop()
             self._disk.remove(path)
             self._disk.sync_folder(self._folder)
@@ -232,10 +234,11 @@
                 f"the data folder away and let this host join as a new replica"
             )
         for payload in found.payloads:
-            replay.take(payload, segment)
+            replay.apply_frame(payload, segment)
         if n_good < len(data):
-            # A torn tail: a write whose sync never ended, so nobody counts on it. Cut,
-            # or the next frame would follow a bad one and look like damage.
+            # A torn tail: its sync never completed, so it was never acknowledged. If it
+            # were not truncated, the next frame would follow a bad one, which is
+            # classified as damage.
             self._disk.truncate(path, n_good)
 
     def _recovered(
@@ -252,7 +255,8 @@
         at_snapshot = [each for each in entries if each.index == header.index]
         later = [each for each in entries if each.index > header.index]
         if at_snapshot and at_snapshot[0].term != header.term:
-            # The power went between the snapshot, received, and the log's cut.
+            # The power was lost after a received snapshot was saved and before the
+            # conflicting log was reset.
             later = []
         return node.Recovered(
             replica_id,
@@ -268,7 +272,7 @@
     # Writing
 
     def append(self, writes: Sequence[events.Write | events.SaveSnapshot]) -> None:
-        """Carry out `writes` with one sync, or more where a snapshot is among them."""
+        """Carry out `writes` with one sync, or more if they include a snapshot."""
         records: list[Any] = []
         last_index = 0
         for write in writes:
@@ -315,17 +319,20 @@
         self._write_frame(records, 0)
 
     def save_snapshot(self, index: int, data: bytes) -> None:
-        """Save a snapshot and remove the ones before it."""
+        """Save a snapshot and remove earlier ones."""
         self.write_snapshot(index, data)
-        self.adopt_snapshot(index)
+        self.activate_snapshot(index)
 
     def write_snapshot(self, index: int, data: bytes) -> None:
-        """Write a snapshot beside; safe while the log is being written."""
+        """Write a snapshot under a temporary name.
+
+        This may run while another thread writes the log.
+        """
         name = f"{_SNAPSHOT_PREFIX}{index}{_PART_SUFFIX}"
         self._disk.write(self._path(name), data)
 
-    def adopt_snapshot(self, index: int) -> None:
-        """Make the snapshot written for `index` the one to start from."""
+    def activate_snapshot(self, index: int) -> None:
+        """Put the snapshot written for `index` in use and remove earlier ones."""
         name = f"{_SNAPSHOT_PREFIX}{index}"
         part = self._path(name + _PART_SUFFIX)
         if index <= self._snapshot_index:
@@ -339,23 +346,23 @@
                 self._disk.remove(self._path(f"{_SNAPSHOT_PREFIX}{old}"))
 
     def read_snapshot(self, index: int, offset: int, size: int) -> bytes:
-        """Return a part of the snapshot `index`; nothing if it is gone."""
+        """Return a part of the snapshot `index`; empty if it was removed."""
         if index != self._snapshot_index:
             return b""
         path = self._path(f"{_SNAPSHOT_PREFIX}{index}")
         try:
             return self._disk.read_part(path, offset, size)
         except FileNotFoundError:
-            # A newer one was put in use in another thread since the comparison.
+            # Another thread has activated a newer snapshot since the comparison.
             return b""
 
     def drop_log(self, index: int) -> None:
-        """Remove the oldest segments that hold nothing after `index`."""
+        """Remove the oldest segments, those without entries after `index`."""
         while len(self._segments) > 1 and self._segments[0].last_index <= index:
             segment = self._segments.pop(0)
             self._disk.remove(self._path(f"{_LOG_PREFIX}{segment.number}"))
-            # One at a time: after a power cut a segment may be there again, but never
-            # with a later one missing.
+            # Each removal is synced on its own. After a power loss a removed segment
+            # may reappear, but never one whose successor is missing.
             self._disk.sync_folder(self._folder)
 
     def close(self) -> None:
@@ -364,11 +371,11 @@
 
 
 def _is_behind(recovered: node.Recovered, replayed: list[log.Entry]) -> bool:
-    """Tell whether the log's entries do not lead up to what was recovered.
+    """Return whether the log on disk ends elsewhere than the recovered snapshot.
 
-    A process may be killed between a received snapshot and the record that empties the
-    log for it. What is written next would stand behind entries that it doesn't follow,
-    and the opening after that would find a gap.
+    A process may be killed after it saved a received snapshot and before it wrote the
+    record that resets the log. Unless the log is reset, the next entries written would
+    not follow those on disk, and the next opening would find a gap.
     """
     if not replayed or recovered.entries:
         return False
@@ -378,7 +385,7 @@
 
 
 def holds_log(disk: files.Files, folder: str) -> bool:
-    """Tell whether `folder` has the log of a replica that goes on with it."""
+    """Return whether `folder` has the log of a replica that will continue it."""
     disk.make_folder(folder)
     names = disk.names(folder)
     is_kept = _DISCARD_NAME not in names
@@ -386,6 +393,6 @@
 
 
 def _numbers(names: Sequence[str], prefix: str) -> list[int]:
-    """Return the numbers behind `prefix`, in ascending order."""
+    """Return the numbers that follow `prefix` in `names`, in ascending order."""
     texts = [each.removeprefix(prefix) for each in names if each.startswith(prefix)]
     return sorted(int(each) for each in texts if each.isdecimal())
--- a/bilberrydrum/state/targets.py
+++ b/bilberrydrum/state/targets.py
@@ -1,18 +1,19 @@
-"""Which replica a client asks next.
+"""Which replica a client sends its requests to.
 
-Replicas name the leader that they know of. Just after a leader is lost they still name
-it, so a replica that was silent a moment ago is not gone back to on their word.
+Replicas redirect clients to the leader that they know. Just after a leader crashed they
+still name it, so a redirect to a replica that recently failed to answer is not
+followed.
 """
 
 from collections.abc import Sequence
 from typing import Final
 
-# A replica that did not answer is passed over for this long.
+# A replica that did not answer is not tried again for this long.
 SILENT_SECONDS: Final = 1.0
 
 
 class Targets:
-    """The addresses of the replicas and the one to ask."""
+    """The addresses of the replicas, and the one to send requests to."""
 
     def __init__(self, configured: Sequence[str]) -> None:
         self._configured = list(configured)
@@ -21,7 +22,7 @@
         self.current = self._addresses[0]
 
     def learn(self, addresses: Sequence[str]) -> None:
-        """Take over the members' addresses; the configured ones stay as a last hope."""
+        """Set the members' addresses, with the configured ones as a fallback."""
         if addresses:
             kept = [each for each in self._configured if each not in addresses]
             self._addresses = [*addresses, *kept]
@@ -31,30 +32,33 @@
                 if address in self._addresses
             }
 
-    def heard(self, address: str) -> None:
-        """Note that a replica answers."""
+    def record_answer(self, address: str) -> None:
+        """Record that a replica answers."""
         self._silent_until.pop(address, None)
 
-    def give_up_current(self, now: float) -> None:
-        """Ask the next one: the current one did not answer."""
+    def skip_current(self, now: float) -> None:
+        """Switch to the next replica, because the current one did not answer."""
         self._silent_until[self.current] = now + SILENT_SECONDS
-        self._move_on(now)
+        self._use_next(now)
 
-    def redirected(self, now: float, leader_address: str) -> bool:
-        """Follow a redirect; False if it names no leader worth asking."""
+    def follow_redirect(self, now: float, leader_address: str) -> bool:
+        """Follow a redirect; return whether it names a usable leader.
+
+        Otherwise switch to the next replica.
+        """
         is_silent = self._silent_until.get(leader_address, now) > now
         if leader_address and leader_address != self.current and not is_silent:
             self.current = leader_address
             return True
-        self._move_on(now)
+        self._use_next(now)
         return False
 
-    def _move_on(self, now: float) -> None:
+    def _use_next(self, now: float) -> None:
         start = 0
         if self.current in self._addresses:
             start = self._addresses.index(self.current) + 1
-        in_turn = self._addresses[start:] + self._addresses[:start]
+        ordered = self._addresses[start:] + self._addresses[:start]
         answering = [
-            each for each in in_turn if self._silent_until.get(each, now) <= now
+            each for each in ordered if self._silent_until.get(each, now) <= now
         ]
-        self.current = (answering or in_turn)[0]
+        self.current = (answering or ordered)[0]
--- a/bilberrydrum/usage/reporter.py
+++ b/bilberrydrum/usage/reporter.py
@@ -11,7 +11,7 @@
 
 from bilberrydrum import backoff, clock, counters, upstream_protocol
 from bilberrydrum.requests import single_calls
-from bilberrydrum.state import replica, tenure
+from bilberrydrum.state import fencing, replica
 from bilberrydrum.usage import agreed_time, commands, gathering, model
 
 # How often windows are looked at: a report has seconds, and each look is cheap.
@@ -71,7 +71,7 @@
         replica_: replica.Replica,
         protocol: ReportProtocol,
         holder: str,
-        reports_tenure: tenure.Tenure,
+        reports_guard: fencing.FencingGuard,
         call: Call,
     ) -> None:
         """Make the task; nothing runs before `start`.
@@ -80,7 +80,7 @@
         ----------
         holder : str
             Name of this host, for the receiver.
-        reports_tenure : tenure.Tenure
+        reports_guard : fencing.FencingGuard
             The right to report.
         call : callable
             Sends what its argument returns to the receiver; see `single_calls.call`.
@@ -89,7 +89,7 @@
         self._replica = replica_
         self._protocol = protocol
         self._holder = holder
-        self._tenure = reports_tenure
+        self._guard = reports_guard
         self._call = call
         self._term = 0
         self._gathering = gathering.Gathering(options, 0.0)
@@ -221,7 +221,7 @@
         if not reply.is_withheld:
             counters.USAGE_REPORTS.labels(str(reply.status)).inc()
         if reply.status == _CONFLICT and numbers:
-            self._tenure.was_refused(numbers[0])
+            self._guard.record_refusal(numbers[0])
         if reply.status != _OK:
             self._pause.failed(clock.now())
             return False
@@ -231,7 +231,7 @@
     def _prepare(
         self, counts: model.WindowCounts, numbers: list[int]
     ) -> upstream_protocol.OrderMessage | None:
-        number = self._tenure.take_number()
+        number = self._guard.acquire_number()
         if number is None:
             return None
         numbers.append(number)
--- a/tests/fakes/files.py
+++ b/tests/fakes/files.py
@@ -1,10 +1,10 @@
-"""A file system in memory that forgets, when power is lost, what was not synced."""
+"""A file system in memory that loses unsynced data when the power is lost."""
 
 import attrs
 
 
 class PowerLostError(Exception):
-    """The power went before the operation took effect."""
+    """The power was lost before the operation took effect."""
 
 
 @attrs.define
@@ -15,24 +15,25 @@
 
 @attrs.frozen
 class Leftover:
-    """What the power cut leaves of what was not synced."""
+    """Which unsynced data survives a power loss."""
 
-    # Share of the bytes behind the synced ones that stay.
+    # Share of the unsynced bytes at the end of a file that survive.
     bytes_share: float = 0.0
-    # The last byte that stays is damaged.
+    # Whether the last surviving byte is damaged.
     is_garbled: bool = False
-    # New, renamed and removed names stay although their folder was not synced.
+    # Whether new, renamed and removed names survive although their folder was not
+    # synced.
     keeps_names: bool = False
 
 
 class FakeFiles:
-    """Kept to the same protocol as `bilberrydrum.state.files.DiskFiles`."""
+    """Implements the protocol `bilberrydrum.state.files.Files` in memory."""
 
     def __init__(self) -> None:
         self._files_by_path: dict[str, _File] = {}
         self._durable_names: dict[str, _File] = {}
         self.n_operations = 0
-        # The power goes before this operation; None: never.
+        # Number of the operation before which the power is lost; None if never.
         self.fails_at: int | None = None
 
     def _operate(self) -> None:
@@ -41,7 +42,7 @@
         self.n_operations += 1
 
     def lose_power(self, leftover: Leftover = Leftover()) -> None:
-        """Forget what was not synced, but for the leftover."""
+        """Drop all unsynced data except for the leftover."""
         names = self._files_by_path if leftover.keeps_names else self._durable_names
         self._files_by_path = dict(names)
         self._durable_names = dict(names)
--- a/tests/fakes/group_troubles.py
+++ b/tests/fakes/group_faults.py
@@ -1,7 +1,7 @@
-"""Troubles of a simulated group, and random schedules of them.
+"""Faults of a simulated group, and random schedules of them.
 
-Hosts crash with half-written disks, stand still, are cut off, come back empty, are
-taken away and replaced; messages are lost, doubled and late.
+Hosts crash with half-written disks, freeze, are partitioned, restart empty, leave and
+are replaced; messages are lost, duplicated and delayed.
 """
 
 import random
@@ -57,15 +57,15 @@
 
 def lose_disk(group, host, rng):
     others = group.hosts_by_name.values()
-    # A learner may hold what a voter that was removed acknowledged; the group has
-    # promised to outlast one loss only while all its places are taken.
-    is_whole = all(len(_voters(each)) >= 3 for each in others if _voters(each))
-    if is_whole and group_hosts.may_lose_disk(others, host):
+    # Entries that a removed voter acknowledged may be stored by a learner only. The
+    # group guarantees to survive a loss only while it has all its voters.
+    is_complete = all(len(_voters(each)) >= 3 for each in others if _voters(each))
+    if is_complete and group_hosts.may_lose_disk(others, host):
         group.lose_disk(host)
 
 
 def _voters(host):
-    return host.decisions.node.members.voter_ids()
+    return host.replica_core.node.members.voter_ids()
 
 
 def snapshot(group, host, rng):
@@ -73,16 +73,16 @@
         group.make_snapshot(host)
 
 
-def take_away(group, host, rng):
+def mark_leaving(group, host, rng):
     if not group.leaving:
         group.leaving.add(host.name)
 
 
-def give_up(group, host, rng):
-    group.give_up(host)
+def transfer_leadership(group, host, rng):
+    group.transfer_leadership(host)
 
 
-TROUBLES = (
+FAULTS = (
     crash,
     kill,
     kill_all,
@@ -92,20 +92,20 @@
     cut,
     lose_disk,
     snapshot,
-    take_away,
-    give_up,
+    mark_leaving,
+    transfer_leadership,
 )
 
 
-def trouble(
+def inject_faults(
     group: promise_group.PromiseGroup,
     rng: random.Random,
-    n_troubles: int,
+    n_faults: int,
     seconds: tuple[float, ...] = SECONDS,
 ) -> None:
-    """Meet a host with a trouble and let the group go on, so many times."""
-    for _ in range(n_troubles):
+    """Inject random faults, and let the group run after each."""
+    for _ in range(n_faults):
         host = rng.choice(list(group.hosts_by_name.values()))
-        rng.choice(TROUBLES)(group, host, rng)
+        rng.choice(FAULTS)(group, host, rng)
         loss = rng.choice((0.0, 0.0, 0.05, 0.3))
         group.run(rng.choice(seconds), loss=loss, doubling=0.02)
--- a/tests/fakes/group_hosts.py
+++ b/tests/fakes/group_hosts.py
@@ -1,4 +1,4 @@
-"""The hosts of a simulated group, and what their lost disks call for."""
+"""The hosts of a simulated group, and which disk losses it must survive."""
 
 from collections.abc import Iterable
 
@@ -14,12 +14,12 @@
 
     name: str
     disk: files.FakeFiles
-    # Its clock: this much faster than true time, and this far ahead.
+    # Relative rate and offset of its clock, compared with true time.
     rate: float = 0.0
     offset: float = 0.0
     is_up: bool = False
     is_frozen: bool = False
-    decisions: core.Core = None  # type: ignore[assignment]
+    replica_core: core.Core = None  # type: ignore[assignment]
     store: storage.Storage = None  # type: ignore[assignment]
     applied: applier.Applier = None  # type: ignore[assignment]
     jobs: list[object] = attrs.field(factory=list)
@@ -30,22 +30,22 @@
 
 
 def joining(hosts: Iterable[Host]) -> dict[str, membership.ReplicaInfo]:
-    """Return the replicas that hold nothing and ask to join, by process."""
+    """Return the empty replicas that ask to join, by process."""
     return {
         host.name: membership.ReplicaInfo(
-            host.decisions.node.replica_id, host.name, host.name
+            host.replica_core.node.replica_id, host.name, host.name
         )
         for host in hosts
-        if host.runs() and not host.decisions.node.members.replicas
+        if host.runs() and not host.replica_core.node.members.replicas
     }
 
 
 def may_lose_disk(hosts: Iterable[Host], lost: Host) -> bool:
-    """Tell whether the group has promised to outlast the loss of this disk."""
+    """Return whether the group guarantees to survive the loss of this disk."""
     hosts = list(hosts)
-    kept = {each.decisions.node.replica_id for each in hosts if each is not lost}
+    kept = {each.replica_core.node.replica_id for each in hosts if each is not lost}
     for host in hosts:
-        members = host.decisions.node.members
+        members = host.replica_core.node.members
         n_kept = sum(1 for each in members.voter_ids() if each in kept)
         if members.voter_ids() and n_kept < members.majority():
             return False
--- a/tests/fakes/group_invariants.py
+++ b/tests/fakes/group_invariants.py
@@ -1,6 +1,6 @@
-"""What must always hold in a state group, checked as things happen.
+"""The invariants of a state group, checked after each step.
 
-The state under test is a version in force that each command raises by one.
+The state under test is a version in force that each command increments by one.
 """
 
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 @codec.register("test.roll")
 @attrs.frozen
 class Roll:
-    """Raise the version in force by one."""
+    """Increment the version in force by one."""
 
     client_id: str
     number: int
@@ -46,7 +46,7 @@
 
 
 class Invariants:
-    """Remembers what was seen, and raises AssertionError when it is contradicted."""
+    """Records what was observed, and raises AssertionError on a contradiction."""
 
     def __init__(self) -> None:
         self.n_commits = 0
@@ -66,7 +66,7 @@
             assert known == state.replica_id, f"two leaders in term {state.term}"
 
     def check_written(self, written_to: log.Log, effect: events.Write) -> None:
-        """Two logs that agree on an entry's term agree on it and on all before it."""
+        """Two logs with an entry of one index and term match up to that entry."""
         for entry in effect.entries:
             before = written_to.term_at(entry.index - 1)
             key = (entry.index, entry.term)
@@ -74,7 +74,7 @@
             assert known == (before, entry.data), f"logs differ at {entry.index}"
 
     def check_committed(self, entry: log.Entry) -> None:
-        """A committed entry is the same on every replica, for ever."""
+        """A committed entry is the same on every replica and never changes."""
         known = self._committed.setdefault(entry.index, (entry.term, entry.data))
         assert known == (entry.term, entry.data), f"entry {entry.index} was replaced"
         self.n_commits = max(self.n_commits, entry.index)
@@ -90,7 +90,7 @@
         self._answered_version = max(self._answered_version, version)
 
     def check_read(self, state: machine.State) -> None:
-        """A read under a lease sees all that was answered, and never falls."""
+        """A read under a lease sees all answered commands, and never goes back."""
         section = state.sections.get("test.versions", Versions())
         assert section.version >= self._answered_version, "a read is out of date"
         assert section.version >= self._read_version, "the version in force fell"
--- a/tests/fakes/promise_group.py
+++ b/tests/fakes/promise_group.py
@@ -54,7 +54,7 @@
         self._last_proposal += 1
         self._proposals[self._last_proposal] = command
         item = (log.KIND_LOCAL, codec.encode(command))
-        self.take(host, events.Propose((item,), self.now, self._last_proposal))
+        self.step(host, events.Propose((item,), self.now, self._last_proposal))
 
     def _draw(self) -> object:
         self._n_made += 1
@@ -142,7 +142,7 @@
                 self._check_fleet(host)
 
     def _may_answer(self, host: group_hosts.Host) -> bool:
-        role = host.decisions.node.role
+        role = host.replica_core.node.role
         is_leader = isinstance(role, node.Leader) and self._has_lease(host)
         return is_leader and host.applied.index >= role.first_index
 
@@ -180,26 +180,26 @@
             assert known is None or known.is_leaving, f"{upstream_id} came back"
         assert section.policy.version >= self.promises.policy_version, "policy fell"
 
-    def tend(self) -> None:
+    def apply_due_change(self) -> None:
         """Make the membership change that a leader finds due, within the bound."""
         for host in self.leaders():
             due = self.due_change(host, self._policy(host))
             if due is None:
                 continue
-            replica_id = host.decisions.node.replica_id
+            replica_id = host.replica_core.node.replica_id
             if due.kind == "remove" and due.replica.replica_id == replica_id:
-                self.give_up(host)
+                self.transfer_leadership(host)
             else:
                 self.change(host, due)
 
     def _policy(self, host: group_hosts.Host) -> steward.Policy:
-        role = host.decisions.node.role
+        role = host.replica_core.node.role
         assert isinstance(role, node.Leader)
         now = self.time_at(host)
         lost = frozenset(
             replica_id
             for replica_id, progress in role.progress_by_id.items()
-            if now - max(progress.heard_at, role.since) > LOST_SECONDS
+            if now - max(progress.last_contact_at, role.since) > LOST_SECONDS
         )
         return steward.Policy(self.n_voters, lost, frozenset(self.leaving))
 
--- a/tests/fakes/replica_group.py
+++ b/tests/fakes/replica_group.py
@@ -1,8 +1,9 @@
 """A group of replication cores with fake disks, clocks and network, and its checks.
 
-Everything that happens is decided by the test or by its random numbers: which message
-arrives, is lost, doubled or late, when a sync ends, who crashes or stands still. After
-each step the group checks what must always hold, and raises AssertionError if not.
+The test or its random numbers determine everything that happens: which message is
+delivered, lost, duplicated or delayed, when a sync completes, and which host crashes or
+freezes. After each step the group checks its invariants, and raises AssertionError if
+one is violated.
 """
 
 import collections
@@ -54,7 +55,7 @@
 
 @attrs.define
 class Client:
-    """A client that sends each command until it is answered."""
+    """A client that sends each command until it receives the answer."""
 
     name: str
     session_id: int = 0
@@ -96,24 +97,24 @@
         first = membership.Membership(
             tuple(
                 membership.ReplicaInfo(
-                    host.decisions.node.replica_id, host.name, host.name
+                    host.replica_core.node.replica_id, host.name, host.name
                 )
                 for host in list(self.hosts_by_name.values())[:n_hosts]
             )
         )
-        self.take(self.hosts_by_name["h0"], events.Found(first))
+        self.step(self.hosts_by_name["h0"], events.BootstrapGroup(first))
 
     def time_at(self, host: group_hosts.Host) -> float:
         return host.offset + self.now * (1.0 + host.rate)
 
     def start(self, host: group_hosts.Host) -> None:
         host.store = storage.Storage(host.disk, FOLDER, 2_000)
-        with self._drawing():
+        with self._seeded_ids():
             recovered, data = host.store.open()
         host.applied = applier.Applier()
         if data:
             host.applied.restore(data)
-        host.decisions = core.Core(
+        host.replica_core = core.Core(
             SETTINGS, recovered, random.Random(self.random.random()), self.time_at(host)
         )
         host.jobs = []
@@ -122,7 +123,7 @@
         host.n_starts += 1
 
     def crash(self, host: group_hosts.Host) -> None:
-        """Take the power from a host, perhaps in the middle of a write."""
+        """Cut the power of a host, possibly in the middle of a write."""
         if host.jobs and self.random.random() < 0.5:
             self.stop_writing(host, self.random.randrange(4))
         share = self.random.choice((0.0, 0.5, 1.0))
@@ -133,20 +134,21 @@
             del self._waiting[key]
 
     def stop_writing(self, host: group_hosts.Host, n_operations: int) -> None:
-        """Let a host write what it is writing, but for what follows so many steps."""
+        """Run at most `n_operations` file operations of a host's pending writes."""
         host.disk.fails_at = host.disk.n_operations + n_operations
         with contextlib.suppress(files.PowerLostError):
             self._write(host, host.jobs)
 
     def _write(self, host: group_hosts.Host, jobs: Sequence[object]) -> None:
-        with self._drawing():
+        with self._seeded_ids():
             disk.carry_out(host.store, jobs)
 
     @contextlib.contextmanager
-    def _drawing(self) -> Iterator[None]:
-        """Draw the ids and salts that a storage makes from the schedule's numbers.
+    def _seeded_ids(self) -> Iterator[None]:
+        """Draw the ids and salts of a storage from the schedule's random numbers.
 
-        Ids decide whose turn it is to stand; others in each run, no seed would repeat.
+        Replica ids determine the order in which voters start elections. If they
+        differed between runs, no seed would reproduce its schedule.
         """
         with (
             mock.patch.object(storage.uuid, "uuid4", self._draw_id),
@@ -158,22 +160,23 @@
         return uuid.UUID(int=self.random.getrandbits(128), version=4)
 
     def lose_disk(self, host: group_hosts.Host) -> None:
-        """The host comes back empty under its old name and address."""
+        """Restart the host with an empty disk under its old name and address."""
         self.crash(host)
         host.disk = files.FakeFiles()
         self.start(host)
 
     # Steps
 
-    def take(self, host: group_hosts.Host, event: object) -> None:
-        """Let a host's core take in an event, and check."""
+    def step(self, host: group_hosts.Host, event: object) -> None:
+        """Pass an event to a host's core, carry out the effects, and check."""
         trace.note(self.now, host.name, event)
-        effects = host.decisions.step(self.time_at(host), event)
+        effects = host.replica_core.step(self.time_at(host), event)
         n_before = len(self.packets)
         for effect in effects:
             self._carry_out(host, effect)
-        # A leader keeps its peers in the order of a set, which differs by process. What
-        # one receiver is sent stays in order; ids are drawn, so no host is favoured.
+        # A leader keeps its peers in the order of a set, which differs between
+        # processes. The sort keeps the order of messages to one receiver; the ids are
+        # random, so it favours no host.
         sent = self.packets[n_before:]
         sent.sort(key=lambda packet: packet.message.receiver_id)
         self.packets[n_before:] = sent
@@ -185,7 +188,7 @@
             self.packets.append(Packet(host.name, effect.address, effect.message))
         elif isinstance(effect, events.Write | events.SaveSnapshot | events.DropLog):
             if isinstance(effect, events.Write):
-                self.invariants.check_written(host.decisions.node.log, effect)
+                self.invariants.check_written(host.replica_core.node.log, effect)
             host.jobs.append(effect)
         elif isinstance(effect, events.Commit):
             for entry in effect.entries:
@@ -225,7 +228,7 @@
         return self.invariants.n_elections
 
     def _send_chunk(self, host: group_hosts.Host, effect: events.SendChunk) -> None:
-        state = host.decisions.node
+        state = host.replica_core.node
         data = host.store.read_snapshot(
             effect.index, effect.offset, SETTINGS.snapshot_chunk_bytes
         )
@@ -244,28 +247,28 @@
         self.packets.append(Packet(host.name, effect.address, chunk))
 
     def sync(self, host: group_hosts.Host) -> None:
-        """Let what a host is writing reach its disk."""
+        """Run a host's pending writes and report their sync."""
         jobs, host.jobs = host.jobs, []
         if not jobs:
             return
         self._write(host, jobs)
         numbers = [each.number for each in jobs if hasattr(each, "number")]
         if numbers:
-            self.take(host, events.Synced(max(numbers)))
+            self.step(host, events.Synced(max(numbers)))
 
     def make_snapshot(self, host: group_hosts.Host) -> None:
         header = host.applied.header()
         if (
-            header.index <= host.decisions.node.snapshot_index
-            or host.decisions.node.installing
+            header.index <= host.replica_core.node.snapshot_index
+            or host.replica_core.node.installing
         ):
             return
         data = snapshot.encode(header, host.applied.state)
         host.store.save_snapshot(header.index, data)
-        self.take(host, events.SnapshotSaved(header.index, len(data)))
+        self.step(host, events.SnapshotSaved(header.index, len(data)))
 
     def submit(self, client: Client, host: group_hosts.Host, number: int = 0) -> None:
-        """Send a client's next command, or again one without an answer, to a host."""
+        """Send a client's next command, or retry one without an answer, at a host."""
         if not client.session_id:
             item = (log.KIND_OPEN_SESSION, client.name.encode())
         else:
@@ -288,26 +291,28 @@
             item = (log.KIND_SESSION, sessions.pack(packed))
         self._last_ticket += 1
         self._tickets[self._last_ticket] = (client, number)
-        self.take(host, events.Propose((item,), self.now, self._last_ticket))
+        self.step(host, events.Propose((item,), self.now, self._last_ticket))
 
-    def tend(self) -> None:
-        """Make the membership change that a leader finds due."""
+    def apply_due_change(self) -> None:
+        """Make the membership change that a leader considers due."""
         for host in self.leaders():
             due = self.due_change(host)
             if due is not None:
                 self.change(host, due)
 
     def leaders(self) -> Iterator[group_hosts.Host]:
-        """Yield the hosts that run and take themselves for leaders."""
+        """Yield the running hosts whose core has the leader role."""
         for host in self.hosts_by_name.values():
-            if self._runs(host) and isinstance(host.decisions.node.role, node.Leader):
+            if self._runs(host) and isinstance(
+                host.replica_core.node.role, node.Leader
+            ):
                 yield host
 
     def due_change(
         self, leader: group_hosts.Host, policy: steward.Policy = steward.NO_BOUND
     ) -> membership.Change | None:
-        """Return the membership change that a leader finds due."""
-        state = leader.decisions.node
+        """Return the membership change that a leader considers due."""
+        state = leader.replica_core.node
         assert isinstance(state.role, node.Leader)
         return steward.next_change(
             state.members,
@@ -318,14 +323,14 @@
         )
 
     def change(self, host: group_hosts.Host, change: membership.Change) -> None:
-        self.take(host, events.ProposeChange(change, self.now, 0))
+        self.step(host, events.ProposeChange(change, self.now, 0))
 
-    def give_up(self, host: group_hosts.Host) -> None:
+    def transfer_leadership(self, host: group_hosts.Host) -> None:
         if self._runs(host):
-            self.take(host, events.GiveUpLeadership())
+            self.step(host, events.TransferLeadership())
 
     def deliver(self, position: int) -> None:
-        """Deliver one message under way, if its receiver can be reached."""
+        """Deliver one message in flight, if its receiver is reachable."""
         packet = self.packets.pop(position)
         receiver = self.hosts_by_name.get(packet.receiver)
         if receiver is None or not receiver.is_up:
@@ -333,11 +338,11 @@
         if (packet.sender, packet.receiver) in self.cuts:
             return
         if receiver.is_frozen:
-            # It waits in the receiver's socket, which holds so many.
+            # The message waits in the receiver's socket, whose queue is bounded.
             if len(self.packets) < MAX_PACKETS:
                 self.packets.append(packet)
             return
-        self.take(receiver, events.Received(packet.sender, packet.message))
+        self.step(receiver, events.Received(packet.sender, packet.message))
 
     def run(
         self,
@@ -349,7 +354,8 @@
     ) -> None:
         """Let time pass, with messages delivered in random order.
 
-        `loss`, `doubling` and `crashes` are shares, per message and per host and step.
+        `loss` and `doubling` are probabilities per message, `crashes` is one per host
+        and step.
         """
         end = self.now + seconds
         sync_shares = {
@@ -360,7 +366,7 @@
             hosts = [each for each in self.hosts_by_name.values() if self._runs(each)]
             self.random.shuffle(hosts)
             for host in hosts:
-                self.take(host, events.Tick())
+                self.step(host, events.Tick())
                 if self.random.random() < sync_shares[host.name]:
                     self.sync(host)
                 if self.random.random() < crashes:
@@ -369,7 +375,7 @@
             if hosts and self.random.random() < 0.3:
                 self.submit(self.random.choice(self.clients), self.random.choice(hosts))
             if self.random.random() < 0.2:
-                self.tend()
+                self.apply_due_change()
             self._deliver_some(loss, doubling, is_ordered)
 
     def _runs(self, host: group_hosts.Host) -> bool:
@@ -385,7 +391,7 @@
             if self.random.random() < loss:
                 self.packets.pop(i)
                 continue
-            # Packets for a host that stands still stay, and must not grow without end.
+            # Packets for a frozen host are kept, so their number must be bounded.
             if len(self.packets) < MAX_PACKETS and self.random.random() < doubling:
                 self.packets.append(self.packets[i])
             self.deliver(i)
@@ -393,7 +399,7 @@
     # Checks
 
     def leader(self) -> group_hosts.Host | None:
-        """Return the host that may answer for the group now."""
+        """Return the host that holds the leader lease."""
         for host in self.hosts_by_name.values():
             if host.is_up and self._has_lease(host):
                 return host
@@ -401,14 +407,14 @@
 
     def _has_lease(self, host: group_hosts.Host) -> bool:
         now = self.time_at(host)
-        return host.decisions.lease_end(now) > now
+        return host.replica_core.lease_end(now) > now
 
     def check(self) -> None:
-        """Check what must always hold."""
+        """Check the invariants."""
         leading = [
-            each.decisions.node
+            each.replica_core.node
             for each in self.hosts_by_name.values()
-            if each.is_up and isinstance(each.decisions.node.role, node.Leader)
+            if each.is_up and isinstance(each.replica_core.node.role, node.Leader)
         ]
         self.invariants.check_leaders(leading)
         for host in self.hosts_by_name.values():
@@ -416,7 +422,7 @@
                 self.invariants.check_read(host.applied.state)
 
     def check_durable(self) -> None:
-        """All that is committed outlasts a power cut of every host at once."""
+        """Check that all committed entries survive a power cut of all hosts at once."""
         for host in self.hosts_by_name.values():
             if host.is_up:
                 self.crash(host)
@@ -424,7 +430,7 @@
             self.start(host)
         held = collections.Counter[int]()
         for host in self.hosts_by_name.values():
-            state = host.decisions.node
+            state = host.replica_core.node
             info = state.members.find(state.replica_id)
             if info is not None and info.is_voter:
                 held.update(i for i in range(1, state.log.last_index + 1))
--- a/tests/fakes/text_group.py
+++ b/tests/fakes/text_group.py
@@ -81,7 +81,7 @@
         if not self._may_answer(host):
             self.runners_by_host.pop(host.name, None)
             return
-        term = host.decisions.node.term
+        term = host.replica_core.node.term
         if runner is not None and runner.term == term:
             return
         runner = self.runners_by_host[host.name] = Runner(term)
@@ -185,7 +185,7 @@
         self._proposals[self._last_proposal] = command
         self._saves_by_ticket[self._last_proposal] = saves
         item = (log.KIND_LOCAL, codec.encode(command))
-        self.take(host, events.Propose((item,), self.now, self._last_proposal))
+        self.step(host, events.Propose((item,), self.now, self._last_proposal))
 
     def _carry_out(self, host: group_hosts.Host, effect: object) -> None:
         if isinstance(effect, events.Accepted):
@@ -302,7 +302,7 @@
         runner = self.runners_by_host.get(host.name)
         if runner is None or not host.runs() or not self._may_answer(host):
             return []
-        is_own_term = runner.term == host.decisions.node.term
+        is_own_term = runner.term == host.replica_core.node.term
         return runner.items.open_batches() if is_own_term else []
 
 
--- a/tests/fakes/usage_world.py
+++ b/tests/fakes/usage_world.py
@@ -6,7 +6,7 @@
 import result
 
 from bilberrydrum import interfaces, reasons
-from bilberrydrum.state import client, machine, tenure
+from bilberrydrum.state import client, fencing, machine
 from bilberrydrum.usage import meter, model, reporter
 from tests import helpers
 from tests.fakes import receiver
@@ -88,7 +88,7 @@
             replica,
             receiver.PlainReports(),
             f"control-{n}",
-            tenure.Tenure(replica, 3.0, is_fenced),
+            fencing.FencingGuard(replica, 3.0, is_fenced),
             self.receiver.call,
         )
         made.unix_time = lambda: UNIX + self.clock.now - 1000.0
--- a/tests/test_batches_service.py
+++ b/tests/test_batches_service.py
@@ -98,7 +98,7 @@
             self.replica,
             self.carrier,
             retention_seconds=60.0,
-            orders_tenure=mock.Mock(),
+            orders_guard=mock.Mock(),
             **given,
         )
         for batch_id in ("b", "c"):
--- a/tests/test_promise_schedules.py
+++ b/tests/test_promise_schedules.py
@@ -1,6 +1,6 @@
 """Randomised schedules over batches and registrations, with their promises.
 
-The troubles are in `tests.fakes.group_troubles`, the checks in
+The troubles are in `tests.fakes.group_faults`, the checks in
 `tests.fakes.promise_group`. BILBERRYDRUM_SCHEDULES sets how many schedules are run;
 the number of schedules and steps is printed at the end.
 """
@@ -14,7 +14,7 @@
 from hypothesis import strategies
 
 from tests import schedules_support
-from tests.fakes import group_troubles, promise_group
+from tests.fakes import group_faults, promise_group
 
 N_SCHEDULES = int(os.environ.get("BILBERRYDRUM_SCHEDULES", "12"))
 N_TROUBLES = 12
@@ -26,7 +26,7 @@
     group = promise_group.PromiseGroup(3, seed, n_voters=3)
     group.add_host("h3")
     group.run(2.0)
-    group_troubles.trouble(group, rng, N_TROUBLES)
+    group_faults.inject_faults(group, rng, N_TROUBLES)
     group.run(6.0)
     return group
 
@@ -69,7 +69,7 @@
                     each.process_id
                     for each in group.hosts_by_name[
                         "h1"
-                    ].decisions.node.members.replicas
+                    ].replica_core.node.members.replicas
                     if each.is_voter
                 }
                 if voters == {"h1", "h2", "h3"}:
--- a/tests/test_state_core.py
+++ b/tests/test_state_core.py
@@ -1,4 +1,4 @@
-"""The replication core's decisions, one at a time: events in, effects out."""
+"""The replication core: the effects of single events."""
 
 import random
 import unittest
@@ -25,8 +25,8 @@
     return entry(1, 1, log.KIND_MEMBERSHIP, codec.encode(MEMBERS))
 
 
-class One:
-    """One core among the replicas a, b and c; the test plays the others."""
+class CoreHarness:
+    """One core of the group a, b and c; the test sends the others' messages."""
 
     def __init__(
         self, replica_id: str = "a", *later: log.Entry, term: int = 1, now: float = 0.0
@@ -59,13 +59,13 @@
         return [each for each in messages_sent if isinstance(each, cls)]
 
     def sync(self) -> None:
-        """Let all writes be synced; the effects are added to those before."""
+        """Sync all writes; the effects are added to the previous ones."""
         before = self.effects
         self.step(events.Synced(self.node._write_number))
         self.effects = before + self.effects
 
     def wait(self, seconds: float) -> list[Any]:
-        """Let time pass with a tick every 50 ms; return what was sent."""
+        """Let time pass with a tick every 50 ms; return the messages sent."""
         sent = []
         end = self.now + seconds
         while self.now < end:
@@ -74,7 +74,7 @@
             sent += self.sent(messages.PeerMessage)
         return sent
 
-    def ask_vote(self, sender: str, term: int, **fields: Any) -> list[Any]:
+    def request_vote(self, sender: str, term: int, **fields: Any) -> list[Any]:
         fields = {
             "last_index": self.node.log.last_index,
             "last_term": self.node.log.last_term,
@@ -83,7 +83,7 @@
         return self.receive(messages.VoteRequest, sender, term=term, **fields)
 
     def lead(self) -> None:
-        """Have this replica elected, with b's votes."""
+        """Let this replica be elected with the votes of b."""
         self.wait(1.3)
         term = self.node.term + 1
         grant = {"term": term, "is_granted": True}
@@ -129,36 +129,36 @@
         return self.core.lease_end(self.now) > self.now
 
 
-class SyncedFirst(unittest.TestCase):
-    """What is answered for is on disk first.
+class AnswersAfterSync(unittest.TestCase):
+    """A replica acknowledges only data that is synced.
 
-    A replica answers, its power goes, and it comes back without what it answered for:
-    it votes a second time, or an acknowledged entry is gone. So the answer waits.
+    If it answered before the sync and lost power, it would restart without that data:
+    it could vote twice in a term, or an acknowledged entry would be lost.
     """
 
     def test_vote_waits_for_its_sync(self) -> None:
-        one = One(now=0.0)
+        one = CoreHarness(now=0.0)
         one.now = 1.0
-        one.ask_vote("b", 2)
+        one.request_vote("b", 2)
         self.assertEqual(one.sent(messages.VoteReply), [])
         one.sync()
         self.assertTrue(one.sent(messages.VoteReply)[0].is_granted)
 
     def test_append_is_acknowledged_after_its_sync(self) -> None:
-        one = One()
+        one = CoreHarness()
         one.append("b", (entry(2, 1),))
         self.assertEqual(one.sent(messages.AppendReply), [])
         one.sync()
         self.assertEqual(one.sent(messages.AppendReply)[0].index, 2)
 
-    def test_heartbeat_vouches_only_for_what_is_synced(self) -> None:
-        one = One()
+    def test_heartbeat_acknowledges_only_synced_entries(self) -> None:
+        one = CoreHarness()
         one.append("b", (entry(2, 1),))
         one.append("b")
         self.assertEqual(one.sent(messages.AppendReply)[0].index, 1)
 
     def test_candidate_counts_its_own_vote_after_its_sync(self) -> None:
-        one = One()
+        one = CoreHarness()
         one.wait(1.3)
         grant = {"term": 2, "is_granted": True}
         one.receive(messages.VoteReply, "b", is_pre_vote=True, **grant)
@@ -168,7 +168,7 @@
         self.assertIsInstance(one.node.role, node.Leader)
 
     def test_leader_counts_itself_after_its_sync(self) -> None:
-        one = One()
+        one = CoreHarness()
         one.lead()
         one.acknowledge("b", 2)
         self.assertEqual(one.node.commit_index, 0)
@@ -176,77 +176,77 @@
         self.assertEqual(one.committed(), [1, 2])
 
     def test_second_candidate_of_a_term_gets_no_vote_after_restart(self) -> None:
-        one = One()
+        one = CoreHarness()
         one.now = 1.0
-        one.ask_vote("b", 2)
+        one.request_vote("b", 2)
         writes = [each for each in one.effects if isinstance(each, events.Write)]
         self.assertEqual(writes[-1].hard_state, events.HardState(2, "b"))
         recovered = node.Recovered("a", writes[-1].hard_state, entries=(first_entry(),))
         one.core = core.Core(SETTINGS, recovered, random.Random(1), one.now)
         one.now = 2.0
-        one.ask_vote("c", 2)
+        one.request_vote("c", 2)
         one.sync()
         self.assertFalse(one.sent(messages.VoteReply)[0].is_granted)
 
 
-class LeaderLeftAlone(unittest.TestCase):
-    """A healthy leader is not deposed, and its lease is kept by its followers."""
+class LeaderStickiness(unittest.TestCase):
+    """A healthy leader is not deposed, and its followers respect its lease."""
 
     @tools.params(True, False)
-    def test_candidate_is_ignored_while_the_leader_is_heard(self, is_pre: bool) -> None:
-        """A cut-off replica comes back with a higher term and asks for votes.
+    def test_candidate_is_ignored_while_the_leader_is_alive(self, is_pre: bool) -> None:
+        """A partitioned replica returns with a higher term and requests votes.
 
-        Those who hear the leader do not even take over the term, or the leader would
-        have to step down for it.
+        Replicas in contact with the leader must not even adopt the term, or the leader
+        would have to step down because of it.
         """
-        one = One()
+        one = CoreHarness()
         one.now = 5.0
         one.append("b")
         one.now = 5.5
-        one.ask_vote("c", 9, is_pre_vote=is_pre)
+        one.request_vote("c", 9, is_pre_vote=is_pre)
         self.assertEqual(one.effects, [])
         self.assertEqual(one.node.term, 1)
         one.now = 5.61
-        one.ask_vote("c", 9, is_pre_vote=is_pre)
+        one.request_vote("c", 9, is_pre_vote=is_pre)
         one.sync()
         self.assertTrue(is_pre or one.sent(messages.VoteReply)[0].is_granted)
 
-    def test_restarted_replica_keeps_the_lease_it_may_have_given(self) -> None:
-        """A follower answers the leader, restarts at once, and is asked for a vote.
+    def test_restarted_replica_keeps_the_lease_it_may_have_supported(self) -> None:
+        """A follower answers the leader, restarts at once, and receives a vote request.
 
-        It does not remember the answer, but the leader still reads under the lease
-        that rests on it. So it counts as having heard a leader when it starts.
+        It has lost the record of its answer, but the leader still serves reads under
+        the lease that rests on it. So its start counts as contact with a leader.
         """
-        one = One(now=100.0)
+        one = CoreHarness(now=100.0)
         one.now = 100.5
-        one.ask_vote("c", 2)
+        one.request_vote("c", 2)
         self.assertEqual(one.effects, [])
         one.now = 100.7
-        one.ask_vote("c", 2)
+        one.request_vote("c", 2)
         one.sync()
         self.assertTrue(one.sent(messages.VoteReply)[0].is_granted)
 
     def test_isolated_replica_starts_no_term(self) -> None:
-        """A replica is cut off for a minute, and then heard again.
+        """A replica is partitioned for a minute and then returns.
 
-        It has asked all the while whether it could win, and nobody answered; its term
-        is the group's, so that its return changes nothing.
+        Meanwhile it has sent only pre-votes, which were not answered, so its term has
+        not risen. With a higher term, its return would depose the leader.
         """
-        one = One()
+        one = CoreHarness()
         sent = one.wait(60.0)
         self.assertGreater(len(sent), 50)
-        asked = [e for e in sent if not isinstance(e, messages.AskLeading)]
+        asked = [e for e in sent if not isinstance(e, messages.LeadershipQuery)]
         self.assertTrue(all(each.is_pre_vote for each in asked))
         self.assertTrue(asked)
         self.assertEqual(one.node.term, 1)
 
     def test_isolated_leader_stops_acting_within_its_lease(self) -> None:
-        """The leader is cut off silently, and takes commands meanwhile.
+        """The leader is partitioned without notice and still receives commands.
 
-        Its lease ends before the others elect a leader; soon after it stops leading,
-        and what it took alone was never committed.
+        Its lease must expire before the others elect a leader, and it must stop leading
+        soon after. The commands that it alone received are never committed.
         """
-        one = One()
+        one = CoreHarness()
         one.establish()
         self.assertTrue(one.has_lease())
         cut_at = one.now
@@ -261,22 +261,23 @@
         self.assertEqual(one.node.commit_index, 2)
 
     def test_frozen_leader_wakes_without_its_lease(self) -> None:
-        """The leader is stopped past its lease and wakes with a read in hand.
+        """The leader is frozen until its lease has expired, and then serves a read.
 
-        It is asked before it has handled any event or tick: the lease is compared with
-        the clock at the call.
+        The read comes before any event or tick, so the lease must be compared with the
+        clock at the time of the call.
         """
-        one = One()
+        one = CoreHarness()
         one.establish()
         one.now += 30.0
         self.assertFalse(one.has_lease())
 
     def test_late_answers_do_not_renew_the_lease(self) -> None:
-        """The leader wakes to find answers that came while it was stopped.
+        """A resumed leader processes replies that arrived while it was frozen.
 
-        They tell of the time when their question was sent, not of now.
+        They extend the lease from the time at which the messages were sent, not from
+        the time at which the replies are processed.
         """
-        one = One()
+        one = CoreHarness()
         one.establish()
         asked_at = one.now
         one.now += 30.0
@@ -285,7 +286,7 @@
         self.assertFalse(one.has_lease())
 
     def test_new_leader_reads_only_after_a_commit_in_its_term(self) -> None:
-        one = One()
+        one = CoreHarness()
         one.lead()
         one.acknowledge("b", 1)
         self.assertFalse(one.has_lease())
@@ -294,7 +295,7 @@
         self.assertTrue(one.has_lease())
 
     def test_learners_do_not_renew_the_lease(self) -> None:
-        one = One()
+        one = CoreHarness()
         one.establish()
         one.step(
             events.ProposeChange(
@@ -313,22 +314,22 @@
 
 
 class Handover(unittest.TestCase):
-    def test_leader_that_stops_names_its_successor_without_its_lease(self) -> None:
-        one = One()
+    def test_stopping_leader_names_its_successor_and_gives_up_its_lease(self) -> None:
+        one = CoreHarness()
         one.establish()
-        one.step(events.GiveUpLeadership())
-        self.assertEqual(len(one.sent(messages.StandNow)), 1)
+        one.step(events.TransferLeadership())
+        self.assertEqual(len(one.sent(messages.TimeoutNow)), 1)
         self.assertFalse(one.has_lease())
 
     def test_successor_is_elected_within_the_old_lease(self) -> None:
-        one = One("b")
+        one = CoreHarness("b")
         one.append("a")
-        one.receive(messages.StandNow, "a")
+        one.receive(messages.TimeoutNow, "a")
         one.sync()
         requests = one.sent(messages.VoteRequest)
         self.assertEqual({each.is_transfer for each in requests}, {True})
-        other = One("c")
+        other = CoreHarness("c")
         other.append("a")
-        other.ask_vote("b", 2, is_transfer=True)
+        other.request_vote("b", 2, is_transfer=True)
         other.sync()
         self.assertTrue(other.sent(messages.VoteReply)[0].is_granted)
--- a/tests/test_state_group.py
+++ b/tests/test_state_group.py
@@ -1,4 +1,4 @@
-"""State groups of real processes: killed, frozen, emptied, restarted."""
+"""State groups of real processes that are killed, frozen, emptied and restarted."""
 
 import time
 import unittest
@@ -18,7 +18,7 @@
 
 
 class Faults(unittest.TestCase):
-    """Faults of one group, which is made whole again between them."""
+    """Faults of one group, which is repaired between the tests."""
 
     group: state_group.StateGroup
 
@@ -41,11 +41,12 @@
     def read(self) -> int:
         return self.group.read(self.key)
 
-    def test_frozen_leader_wakes_with_commands_in_hand(self) -> None:
-        """The leader is stopped (SIGSTOP) past its lease with commands in its socket.
+    def test_frozen_leader_wakes_with_pending_commands(self) -> None:
+        """The leader is frozen (SIGSTOP) past its lease with commands in its socket.
 
-        The others elect a leader and go on. Woken, the old one must neither answer
-        from the past nor report what it alone took: each command counts once.
+        The others elect a new leader. When the old one resumes, it must neither answer
+        from stale state nor report commands that only it received: each command counts
+        once.
         """
         group = self.group
         self.add()
@@ -64,7 +65,7 @@
         """The leader is killed while clients send, and then all replicas at once.
 
         A client cannot know whether the killed leader committed its command, and
-        sends it again to the next one. Each command has one effect, and lasts.
+        retries it at the next one. Each command must take effect once and survive.
         """
         group = self.group
         self.add()
@@ -85,10 +86,11 @@
         self.assertEqual(answer.total, 31)
 
     def test_lost_disk_then_second_host(self) -> None:
-        """A disk is lost, its host comes back empty, and then a second host is lost.
+        """A host loses its disk and restarts empty, and then a second host is lost.
 
-        The returned host gets a new replica id and its vote without an operator; then
-        the group must go on without the second host, with all that was acknowledged.
+        The restarted host must become a voter under a new replica id without an
+        operator. The group then continues without the second host, and all acknowledged
+        commands are kept.
         """
         group = self.group
         for _ in range(20):
@@ -110,7 +112,8 @@
     def test_follower_returns_after_hundreds_of_changes(self) -> None:
         """A follower misses 600 changes and is killed twice while it catches up.
 
-        It gets a snapshot and the tail, not each change, and ends up with all of it.
+        It receives a snapshot and the end of the log instead of each change, and must
+        end up with the complete state.
         """
         group = self.group
         self.add()
@@ -132,15 +135,16 @@
             return found.match_index >= now.commit_index
 
         group.wait_for(has_caught_up)
-        # The changes that it missed are not in the leader's log any more.
+        # The leader's log does not contain the missed changes.
         self.assertGreater(group.status().snapshot_index, status.commit_index + 400)
         group.processes[status.leader_process_id].kill()
         self.assertEqual(self.read(), 601)
 
     def test_no_majority_is_reported_as_unknown(self) -> None:
-        """Two of three hosts are gone; a client's command cannot be committed.
+        """Two of three hosts are down, so a client's command cannot be committed.
 
-        The client is told so in its time, and that the command may yet apply.
+        The client must receive an error before its timeout that says that the command
+        may still be applied.
         """
         group = self.group
         self.add()
@@ -155,7 +159,7 @@
         self.assertTrue(answer.err_value.may_have_applied)
 
     def test_client_finds_the_group_from_one_member(self) -> None:
-        """A gateway's settings name one member that does not lead, which then dies."""
+        """A gateway's settings name one follower, which is then killed."""
         group = self.group
         self.add()
         leader = group.status().leader_process_id
@@ -174,9 +178,10 @@
         self.assertEqual(client.submit(add, 20.0).unwrap().total, 3)
 
     def test_host_is_replaced_and_a_step_that_loses_the_majority_refused(self) -> None:
-        """One host is lost for good; an operator removes a healthy one by mistake.
+        """One host is lost permanently; an operator removes a healthy one by mistake.
 
-        That is refused with the reason. Then a new host joins, and the lost one goes.
+        That must be refused with the reason. Then a new host joins, and the lost one is
+        removed.
         """
         group = self.group
         self.add()
--- a/tests/test_state_membership.py
+++ b/tests/test_state_membership.py
@@ -1,4 +1,4 @@
-"""Membership changes: one at a time, never without a majority, learners first."""
+"""Membership changes: one at a time, with a reachable majority, learners first."""
 
 import unittest
 
@@ -19,9 +19,11 @@
 
 
 class Refused(unittest.TestCase):
-    """Steps that would endanger the group are refused with the reason."""
+    """Changes that would endanger the group are refused with the reason."""
 
-    def refusal(self, one: test_state_core.One, change: membership.Change) -> str:
+    def refusal(
+        self, one: test_state_core.CoreHarness, change: membership.Change
+    ) -> str:
         effects = one.step(events.ProposeChange(change, 0.0, 1))
         refused = [each for each in effects if isinstance(each, events.ChangeRefused)]
         return refused[0].detail if refused else ""
@@ -29,9 +31,10 @@
     def test_second_change_before_the_first_is_committed(self) -> None:
         """Two operators change the membership at once.
 
-        Two uncommitted changes could leave two leaders majorities that do not meet.
+        With two uncommitted changes, two leaders could have majorities without a common
+        replica.
         """
-        one = test_state_core.One()
+        one = test_state_core.CoreHarness()
         one.establish()
         one.acknowledge("c", 2)
         add = membership.Change(membership.ADD_LEARNER, LEARNER)
@@ -43,7 +46,7 @@
         self.assertEqual(self.refusal(one, remove), "")
 
     def test_change_before_the_leader_committed_in_its_term(self) -> None:
-        one = test_state_core.One()
+        one = test_state_core.CoreHarness()
         one.lead()
         change = membership.Change(membership.ADD_LEARNER, LEARNER)
         self.assertIn("not committed in its term", self.refusal(one, change))
@@ -51,10 +54,10 @@
     def test_removal_that_loses_the_majority(self) -> None:
         """One of three hosts is lost, and an operator removes a healthy one.
 
-        Two voters would remain, one of them lost: nothing could be committed again,
-        not even the way back.
+        Two voters would remain, one of them lost. Nothing could be committed any more,
+        not even the reversal of the change.
         """
-        one = test_state_core.One()
+        one = test_state_core.CoreHarness()
         one.establish()
         detail = self.refusal(one, membership.Change(membership.REMOVE, voter("b")))
         self.assertIn("lose its majority", detail)
@@ -63,7 +66,7 @@
         self.assertEqual(self.refusal(one, lost), "")
 
     def test_vote_for_a_learner_that_has_not_caught_up(self) -> None:
-        one = test_state_core.One()
+        one = test_state_core.CoreHarness()
         one.establish()
         add = membership.Change(membership.ADD_LEARNER, LEARNER)
         self.assertEqual(self.refusal(one, add), "")
@@ -76,14 +79,14 @@
 
     def test_last_voter(self) -> None:
         only = membership.Membership((voter("a"),))
-        after = membership.changed(
+        after = membership.apply_change(
             only, membership.Change(membership.REMOVE, voter("a"))
         )
         self.assertIsInstance(after, membership.Refusal)
 
 
 class NextChange(unittest.TestCase):
-    """Which change the leader makes by itself."""
+    """Which change the leader makes without an operator."""
 
     MEMBERS = test_state_core.MEMBERS
     NEW_C = membership.ReplicaInfo("c2", "p-c", "at-c", is_voter=False)
@@ -126,13 +129,13 @@
 
 
 class BoundedGroup(unittest.TestCase):
-    """A group of three votes replaces who is lost or taken away."""
+    """A group of three voters replaces those that are lost or leaving."""
 
     VOTERS = tuple(membership.ReplicaInfo(f"r{i}", f"p{i}", f"a{i}") for i in range(4))
     LEARNER = attrs.evolve(VOTERS[3], is_voter=False)
 
     def due(self, replicas, lost=(), leaving=(), joining=(), behind=()):
-        """Return the kind of the change that is due, and whose."""
+        """Return the kind and the replica id of the change that is due."""
         learned = {
             each.replica_id: steward.Learned(
                 100 if each.replica_id not in behind else 0,
@@ -178,12 +181,13 @@
         ("a zone without any", {"p3": "y", "p4": "v"}, "r4"),
     )
     def test_zones_stay_spread(self, name, zones, expected):
-        """Replicas in x, y and z; the one in z is lost, and two stand by.
+        """The zones x, y and z have one replica each; the one in z is lost.
 
-        Taken in the order in which they asked, two of three would stand in one zone.
+        If the two hosts that ask to join were taken in the order of their requests, two
+        of the three replicas could be in one zone.
         """
         zones = {"p0": "x", "p1": "y", "p2": "z", **zones} if zones else {}
-        standing_by = [
+        candidates = [
             membership.ReplicaInfo(f"r{i}", f"p{i}", f"a{i}", is_voter=False)
             for i in (3, 4)
         ]
@@ -191,31 +195,32 @@
         policy = steward.Policy(3, frozenset({"r2"}), zones_by_process_id=zones)
         change = steward.next_change(
             membership.Membership(self.VOTERS[:3]),
-            {each.process_id: each for each in standing_by},
+            {each.process_id: each for each in candidates},
             learned,
             100,
             policy,
         )
         self.assertEqual(change.replica.replica_id, expected, name)
 
-    def test_leaving_one_stays_until_its_place_is_taken(self):
-        """A store is emptied, and another loses its disk right after it is gone.
+    def test_leaving_voter_stays_until_it_is_replaced(self):
+        """A store leaves, and another one loses its disk right afterwards.
 
-        Removed before the fourth had its vote, two votes would be left; with one of
-        the two disks lost as well, the group could never commit again.
+        If the leaving store were removed before the fourth replica became a voter, two
+        voters would remain. With one of their disks lost, the group could never commit
+        again.
         """
         replicas = (*self.VOTERS[:3], self.LEARNER)
         self.assertIsNone(self.due(replicas, leaving=("p0",), behind=("r3",)))
 
 
 class LostDisk(unittest.TestCase):
-    """A host comes back empty; then a second one is lost."""
+    """A host restarts empty; then a second one is lost."""
 
     def test_second_host_is_lost_right_after_the_repair(self) -> None:
-        """A disk is lost, the host rejoins, and another host goes with its disk.
+        """A host loses its disk and rejoins, and another host is lost with its disk.
 
-        The repaired replica must hold all that was acknowledged, under a new id and
-        with a vote of its own, or the two that are left could not go on.
+        The replica that rejoined must be a voter under a new id and have all
+        acknowledged entries. Otherwise the two remaining hosts could not continue.
         """
         for seed in range(5):
             group = replica_group.Group(3, seed)
@@ -223,10 +228,10 @@
             hosts = list(group.hosts_by_name.values())
             n_before = group.n_commits
             group.lose_disk(hosts[1])
-            new_id = hosts[1].decisions.node.replica_id
+            new_id = hosts[1].replica_core.node.replica_id
             for _ in range(30):
                 group.run(1.0)
-                info = hosts[1].decisions.node.members.find(new_id)
+                info = hosts[1].replica_core.node.members.find(new_id)
                 if info is not None and info.is_voter:
                     break
             self.assertTrue(info and info.is_voter)
@@ -237,11 +242,11 @@
             self.assertGreater(n_repaired, n_before)
             self.assertGreater(group.n_commits, n_repaired)
 
-    def test_returned_host_does_not_answer_for_what_it_lost(self) -> None:
-        """The only holder of an entry besides the leader loses its disk.
+    def test_returned_host_does_not_vote_for_what_it_lost(self) -> None:
+        """The only other replica that has an entry of the leader loses its disk.
 
-        The third never got the entry. The returned host is empty under its old name:
-        if it voted with the third, the entry would be gone.
+        The third replica never received the entry. The host restarts empty under its
+        old name. If it voted with the third replica, the entry would be lost.
         """
         group = replica_group.Group(3, 7)
         group.run(3.0)
@@ -258,7 +263,7 @@
         group.cuts.clear()
         group.run(10.0)
         self.assertIsNone(group.leader())
-        self.assertIsInstance(holder.decisions.node.role, node.Follower)
+        self.assertIsInstance(holder.replica_core.node.role, node.Follower)
         group.start(leader)
         group.run(10.0)
         self.assertIsNotNone(group.leader())
--- a/tests/test_state_replica.py
+++ b/tests/test_state_replica.py
@@ -1,4 +1,4 @@
-"""One replica in this process: its disk fails, it stops, its state grows."""
+"""One replica in this process: restarts, disk failures and snapshots."""
 
 import pathlib
 import shutil
@@ -56,7 +56,7 @@
         return total
 
 
-class Life(ReplicaCase):
+class Lifecycle(ReplicaCase):
     def test_state_is_there_after_a_restart_from_snapshot_and_log(self) -> None:
         made = self.start(snapshot_entries=25)
         for _ in range(130):
@@ -81,9 +81,10 @@
         self.assertEqual(seen, [1, 2, 3])
 
     def test_new_leader_acts_only_on_what_is_applied(self) -> None:
-        """A replica is elected and has much to apply that others were told of.
+        """A replica is elected before it has applied all committed entries.
 
-        A task beside it that acted on its state at once would hand out old bundles.
+        If another task acted on the replica's state at once, it would serve old
+        bundles.
         """
         made = self.make()
         with mock.patch.object(applying.ApplyTask, "put") as held:
@@ -108,12 +109,12 @@
         self.assertFalse(answer.err_value.may_have_applied)
 
     def test_entry_that_a_received_snapshot_holds(self) -> None:
-        """A batch is refused with the promise that it never runs, and runs.
+        """A caller is told that its batch will never run, but it runs.
 
-        A leader takes it, and is cut off from the others once they have it. The next
-        leader commits it and drops that part of its log; the first one, back, is sent a
-        snapshot, and sees what is in it, but not the entry. Its caller was told that
-        the entry is not in the log.
+        A leader replicates the batch's entry and is partitioned. The next leader
+        commits the entry and drops that part of its log. The first one then receives a
+        snapshot that contains the entry's effect but not the entry. If it reported that
+        the entry is not in the log, the caller would assume that the batch was refused.
         """
         made = self.start()
         self.add(made)
@@ -137,7 +138,7 @@
         self.assertTrue(answer.err_value.may_have_applied)
 
     def test_backup_is_restored_into_a_new_group(self) -> None:
-        """All disks are lost; the operator restores the back-up into a new group."""
+        """All disks are lost; the operator restores a backup into a new group."""
         made = self.start()
         for _ in range(5):
             self.add(made)
@@ -172,10 +173,10 @@
 
 class DiskFailure(ReplicaCase):
     def test_replica_whose_disk_fails_stops_as_a_whole(self) -> None:
-        """A sync fails while commands come in.
+        """A sync fails while commands arrive.
 
-        Whether the data is on disk is not known after that, also when a later sync
-        succeeds. So nothing is acknowledged any more, and the replica leads no more.
+        It is then unknown whether the data is on disk, even if a later sync succeeds.
+        So the replica must stop acknowledging commands and stop leading.
         """
         made = self.start()
         self.add(made)
@@ -189,9 +190,9 @@
 
 
 class Snapshots(unittest.TestCase):
-    """When a snapshot is made, and what the leader does first."""
+    """When a snapshot is made, and when the leader first transfers the leadership."""
 
-    def make(self, one: test_state_core.One) -> applying.ApplyTask:
+    def make(self, one: test_state_core.CoreHarness) -> applying.ApplyTask:
         self.owner = mock.Mock(node=one.node)
         self.owner.put.side_effect = one.step
         applied = applier.Applier()
@@ -201,8 +202,8 @@
         return applying.ApplyTask(self.owner, applied, *others, 100, rng)
 
     def test_followers_make_theirs_before_the_leader(self) -> None:
-        """All replicas count the same entries; none of them may be paused with all."""
-        one = test_state_core.One()
+        """All replicas count the same entries, but must not all pause at once."""
+        one = test_state_core.CoreHarness()
         task = self.make(one)
         self.assertTrue(task.snapshot_is_due())
         one.establish()
@@ -216,11 +217,11 @@
     def test_leader_of_a_large_state_hands_over_first(
         self, name: str, n_bytes: int, is_heard: bool, leads: bool
     ) -> None:
-        """Encoding takes seconds, and no command would be answered meanwhile.
+        """Encoding takes seconds, during which no command would be answered.
 
-        Without a successor, stepping down would only stop the group for longer.
+        Without a successor, stepping down would only extend the interruption.
         """
-        one = test_state_core.One()
+        one = test_state_core.CoreHarness()
         one.establish()
         one.node.snapshot_bytes = n_bytes
         if not is_heard:
--- a/tests/test_state_schedules.py
+++ b/tests/test_state_schedules.py
@@ -1,9 +1,9 @@
-"""Randomised schedules over the replication core, with its invariants after each step.
+"""Random schedules of the replication core, with checks of its invariants.
 
-The checks are in `tests.fakes.replica_group`: one leader a term, matching logs,
-committed entries never replaced, one effect and one answer per command, reads under a
+The checks are in `tests.fakes.replica_group`: one leader per term, matching logs, no
+committed entry overwritten, one effect and one answer per command, and reads under a
 lease that see every answered command. BILBERRYDRUM_SCHEDULES sets how many schedules
-are run; the number of schedules and steps run is printed at the end.
+are run; the numbers of schedules and steps are printed at the end.
 """
 
 import os
@@ -19,7 +19,7 @@
 
 N_SCHEDULES = int(os.environ.get("BILBERRYDRUM_SCHEDULES", "12"))
 N_RULES = 40
-# Shrinking a failing schedule takes minutes; it is left to longer runs.
+# Shrinking a failing schedule takes minutes, so it is enabled only on request.
 PHASES = [hypothesis.Phase.generate]
 if os.environ.get("BILBERRYDRUM_SHRINK"):
     PHASES.append(hypothesis.Phase.shrink)
@@ -69,12 +69,12 @@
 
 
 def mute(group: replica_group.Group, host: group_hosts.Host) -> None:
-    """What the host sends is lost; it hears the others."""
+    """Drop all messages from the host; it still receives messages."""
     group.cuts |= {(host.name, name) for name in group.hosts_by_name}
 
 
 def deafen(group: replica_group.Group, host: group_hosts.Host) -> None:
-    """The host hears nobody, but is heard."""
+    """Drop all messages to the host; it can still send messages."""
     group.cuts |= {(name, host.name) for name in group.hosts_by_name}
 
 
@@ -89,25 +89,25 @@
 
 
 def remove(group: replica_group.Group, host: group_hosts.Host) -> None:
-    """An operator removes a replica, if the leader does not refuse."""
+    """Request the removal of a replica, which the leader may refuse."""
     leader = group.leader()
-    info = host.decisions.node.members.find(host.decisions.node.replica_id)
+    info = host.replica_core.node.members.find(host.replica_core.node.replica_id)
     if leader is not None and not leader.is_frozen and info is not None:
         group.change(leader, membership.Change(membership.REMOVE, info))
 
 
 def rejoin(group: replica_group.Group, host: group_hosts.Host) -> None:
-    """A replica that was removed gets an empty disk, and asks to join."""
+    """Empty the disk of a removed replica, which then asks to join."""
     leader = group.leader()
     if leader is None or not host.is_up:
         return
-    found = leader.decisions.node.members.find(host.decisions.node.replica_id)
+    found = leader.replica_core.node.members.find(host.replica_core.node.replica_id)
     if found is None:
         lose_disk(group, host)
 
 
 def give_up(group: replica_group.Group, host: group_hosts.Host) -> None:
-    group.give_up(group.leader() or host)
+    group.transfer_leadership(group.leader() or host)
 
 
 def mend_all(group: replica_group.Group) -> None:
@@ -147,7 +147,7 @@
 
 
 class Schedule(stateful.RuleBasedStateMachine):
-    """Faults in any order, between stretches of time in which the group works."""
+    """Faults in any order, with periods of time in between."""
 
     group: replica_group.Group
 
@@ -212,10 +212,10 @@
 
 class PowerCut(unittest.TestCase):
     def test_power_of_all_hosts_goes_at_once(self) -> None:
-        """A whole site loses power in the middle of its work, and comes back.
+        """All hosts lose power while they write, and restart.
 
-        Every committed entry is on a majority of the disks, whatever became of what
-        was not synced, and the group goes on.
+        Every committed entry must be on a majority of the disks, whatever happened to
+        unsynced data, and the group must continue to commit.
         """
         for seed in range(5):
             group = replica_group.Group(3, seed)
--- a/tests/test_state_serving.py
+++ b/tests/test_state_serving.py
@@ -6,7 +6,7 @@
 from nose2 import tools
 
 from bilberrydrum import codec, options
-from bilberrydrum.state import applier, founding, messages, serving
+from bilberrydrum.state import applier, bootstrap, messages, serving
 from misc.measures import state_process
 
 
@@ -102,8 +102,8 @@
 
     def founding(
         self, process_id: str = "a", replica_id: str = "r1"
-    ) -> founding.Founding:
-        return founding.Founding(process_id, replica_id, "at-a", self.MEMBERS)
+    ) -> bootstrap.Bootstrap:
+        return bootstrap.Bootstrap(process_id, replica_id, "at-a", self.MEMBERS)
 
     @tools.params(
         ("all are empty", "a", {"b": True, "c": True}, True),
@@ -121,7 +121,7 @@
         """
         found = self.founding(process_id)
         for other, is_empty in empty.items():
-            found.heard(messages.ProbeReply(other, f"r-{other}", is_empty, "r1"))
+            found.record_reply(messages.ProbeReply(other, f"r-{other}", is_empty, "r1"))
         self.assertEqual(found.first_membership() is not None, founds, name)
 
     def test_answer_to_the_replica_before_is_not_counted(self) -> None:
@@ -131,12 +131,12 @@
         """
         found = self.founding(replica_id="r2")
         for other in "bc":
-            found.heard(messages.ProbeReply(other, f"r-{other}", True, "r1"))
+            found.record_reply(messages.ProbeReply(other, f"r-{other}", True, "r1"))
         self.assertIsNone(found.first_membership())
 
     def test_group_once_heard_of_stays(self) -> None:
         found = self.founding()
-        found.heard(messages.ProbeReply("b", "r-b", False, "r1"))
+        found.record_reply(messages.ProbeReply("b", "r-b", False, "r1"))
         for other in "bc":
-            found.heard(messages.ProbeReply(other, f"r-{other}", True, "r1"))
+            found.record_reply(messages.ProbeReply(other, f"r-{other}", True, "r1"))
         self.assertIsNone(found.first_membership())
--- a/tests/test_state_starting.py
+++ b/tests/test_state_starting.py
@@ -1,4 +1,4 @@
-"""Replicas that start: whom they leave alone, and for how long."""
+"""Replicas that have just started: when they vote and start elections."""
 
 import random
 import unittest
@@ -10,25 +10,25 @@
 from tests.fakes import replica_group
 
 
-class One(unittest.TestCase):
-    """One replica that has just started; the test plays b and c."""
+class JustStarted(unittest.TestCase):
+    """One replica that has just started; the test sends the replies of b and c."""
 
     def setUp(self):
-        self.one = test_state_core.One()
+        self.one = test_state_core.CoreHarness()
 
-    def answer(self, sender, is_leading=False, life=0):
-        number = self.one.node.start_number + life
+    def reply(self, sender, is_leading=False, incarnation=0):
+        number = self.one.node.start_number + incarnation
         self.one.receive(
-            messages.Leading, sender, start_number=number, is_leading=is_leading
+            messages.LeadershipReply, sender, start_number=number, is_leading=is_leading
         )
 
-    def stands_within(self, seconds):
+    def starts_election_within(self, seconds):
         sent = self.one.wait(seconds)
         return any(isinstance(each, messages.VoteRequest) for each in sent)
 
     def test_asks_all_voters(self):
         sent = self.one.wait(0.05)
-        asked = {e.receiver_id for e in sent if isinstance(e, messages.AskLeading)}
+        asked = {e.receiver_id for e in sent if isinstance(e, messages.LeadershipQuery)}
         self.assertEqual(asked, {"b", "c"})
 
     @tools.params(
@@ -38,66 +38,67 @@
         ("c leads by now", [("c", False), ("b", False), ("c", True)], True),
         ("an earlier life was answered", [("b", False, 1), ("c", False, 1)], False),
     )
-    def test_stands_at_once(self, name, answers, expected):
-        """All replicas were killed and start together, or only this one did.
+    def test_starts_election_at_once(self, name, answers, expected):
+        """All replicas, or only this one, were killed and restarted.
 
-        Its earlier life may have answered a leader, whose lease would be broken by a
-        vote for another; only if all voters say that they do not lead there is none.
+        The replica's previous incarnation may have acknowledged a leader's message. A
+        vote for another candidate would then violate the leader's lease. There is no
+        such lease only if all voters reply that they do not lead.
         """
         for each in answers:
-            self.answer(*each)
-        self.assertEqual(self.stands_within(0.4), expected, name)
+            self.reply(*each)
+        self.assertEqual(self.starts_election_within(0.4), expected, name)
 
     def test_votes_at_once(self):
-        self.one.ask_vote("b", 2, is_pre_vote=True)
+        self.one.request_vote("b", 2, is_pre_vote=True)
         self.assertEqual(self.one.sent(messages.VoteReply), [])
-        self.answer("b")
-        self.answer("c")
-        self.one.ask_vote("b", 2, is_pre_vote=True)
+        self.reply("b")
+        self.reply("c")
+        self.one.request_vote("b", 2, is_pre_vote=True)
         self.assertTrue(self.one.sent(messages.VoteReply)[0].is_granted)
 
-    def test_heard_leader_is_left_alone(self):
-        """The answers come late: a leader was elected and heard meanwhile."""
-        self.answer("b")
+    def test_live_leader_is_not_challenged(self):
+        """The replies are late; meanwhile a leader was elected and sent a message."""
+        self.reply("b")
         self.one.append("c")
-        self.answer("c")
-        self.one.ask_vote("b", 2, is_pre_vote=True)
+        self.reply("c")
+        self.one.request_vote("b", 2, is_pre_vote=True)
         self.assertEqual(self.one.sent(messages.VoteReply), [])
 
     @tools.params((node.Leader, True), (node.Follower, False))
-    def test_says_whether_it_leads(self, role, expected):
+    def test_replies_whether_it_leads(self, role, expected):
         if role is node.Leader:
             self.one.establish()
-        self.one.receive(messages.AskLeading, "b", start_number=7)
-        answer = self.one.sent(messages.Leading)[0]
-        self.assertEqual((answer.start_number, answer.is_leading), (7, expected))
+        self.one.receive(messages.LeadershipQuery, "b", start_number=7)
+        reply = self.one.sent(messages.LeadershipReply)[0]
+        self.assertEqual((reply.start_number, reply.is_leading), (7, expected))
 
     def test_answers_for_an_earlier_replica_of_its_host(self):
         """A host lost its disk; its earlier replica, "z", may have led.
 
-        That replica's process has ended, so its lease rests on nobody. Whoever asks
-        for it must not wait for an answer that cannot come.
+        The process of "z" has ended, so no process acts under its lease. Replicas that
+        query "z" must not have to wait for a reply that cannot come.
         """
         self.one.receive(
-            messages.AskLeading, "b", receiver_id="z", start_number=7, term=9
+            messages.LeadershipQuery, "b", receiver_id="z", start_number=7, term=9
         )
-        answer = self.one.sent(messages.Leading)[0]
-        self.assertEqual((answer.sender_id, answer.receiver_id), ("z", "b"))
-        self.assertEqual((answer.start_number, answer.is_leading), (7, False))
+        reply = self.one.sent(messages.LeadershipReply)[0]
+        self.assertEqual((reply.sender_id, reply.receiver_id), ("z", "b"))
+        self.assertEqual((reply.start_number, reply.is_leading), (7, False))
         self.assertEqual(self.one.node.term, 1)
 
     @tools.params(
         (messages.VoteRequest, {"last_index": 9, "last_term": 9}),
-        (messages.StandNow, {}),
+        (messages.TimeoutNow, {}),
     )
-    def test_does_nothing_else_for_it(self, cls, fields):
-        """A vote in its name would count one that the group has lost."""
+    def test_ignores_other_messages_for_an_earlier_replica(self, cls, fields):
+        """A vote in the name of the earlier replica would count for lost data."""
         sent = self.one.receive(cls, "b", receiver_id="z", term=9, **fields)
         self.assertEqual(sent, [])
 
 
 class Restarts(unittest.TestCase):
-    """All replicas of a group are killed and start again."""
+    """All replicas of a group are killed and restarted."""
 
     def seconds_without_leader(self, seed, n_late, n_wiped=0):
         group = replica_group.Group(3, seed)
@@ -115,32 +116,32 @@
         return group.now - began
 
     def test_all_at_once(self):
-        """Without asking, a leader is there after 0.6 to 1.3 s."""
+        """Without leadership queries, it takes 0.6 to 1.3 s until there is a leader."""
         waits = [self.seconds_without_leader(seed, 0) for seed in range(12)]
         waits.sort()
         self.assertLess(waits[len(waits) // 2], 0.6, waits)
 
     def test_one_comes_back_empty(self):
-        """All lose power and one its disk: the other two need not wait for it.
+        """All lose power, and one its disk; the other two need not wait for that one.
 
-        Without an answer for its earlier replica a leader is there after 0.6 to 1.3 s,
-        in which no item of a batch runs.
+        Without a reply for its earlier replica, it takes 0.6 to 1.3 s until there is a
+        leader, during which no item of a batch runs.
         """
         waits = [self.seconds_without_leader(seed, 0, n_wiped=1) for seed in range(12)]
         waits.sort()
         self.assertLess(waits[len(waits) // 2], 0.6, waits)
 
-    def test_one_stays_away(self):
-        """The one that is not there may lead with a lease: it is waited out."""
+    def test_one_stays_down(self):
+        """The one that is down may hold a leader lease, which must expire first."""
         for seed in range(6):
             wait = self.seconds_without_leader(seed, 1)
             self.assertGreater(wait, replica_group.SETTINGS.election_timeout * 0.95)
 
     def test_leases_hold_while_replicas_restart(self):
-        """Replicas restart by turns, with messages lost, doubled and out of order.
+        """Replicas restart in turn; messages are lost, duplicated and reordered.
 
         The group's checks fail if two leaders hold a lease in different terms, or if a
-        leader answers from the past.
+        leader serves a stale read.
         """
         for seed in range(10):
             group = replica_group.Group(3, 1000 + seed)
