--- a/tests/test_state_storage.py
+++ b/tests/test_state_storage.py
@@ -1,4 +1,4 @@
-"""The data folder: what lasts through a power cut, and what is refused as damaged."""
+"""The data folder: what survives a power loss, and what is refused as damaged."""
 
 import contextlib
 import unittest
@@ -54,22 +54,22 @@
 
 
 @attrs.frozen
-class Seen:
-    """What a replica finds on its disk."""
+class Contents:
+    """The data that a replica finds on its disk."""
 
     hard_state: events.HardState
     snapshot_index: int
     terms_by_index: tuple[tuple[int, int], ...]
 
 
-def look(disk: files.FakeFiles) -> Seen:
+def read_contents(disk: files.FakeFiles) -> Contents:
     recovered, _ = storage.Storage(disk, FOLDER, 300).open()
     terms = tuple((each.index, each.term) for each in recovered.entries)
-    return Seen(recovered.hard_state, recovered.snapshot_index, terms)
+    return Contents(recovered.hard_state, recovered.snapshot_index, terms)
 
 
-# Each step is acknowledged when it returns. Together they roll segments, replace a
-# suffix, save both kinds of snapshot and drop old segments.
+# Each step is acknowledged when it returns. Together they start new segments, overwrite
+# a suffix, save both kinds of snapshot and remove old segments.
 STEPS: list[tuple[str, Callable[[storage.Storage], None]]] = [
     ("vote", lambda s: s.append([write(1, 1, "r1")])),
     ("entries", lambda s: s.append([write(2, 1, "r1", 1, 4), write(3, 1, "r1", 5, 6)])),
@@ -94,9 +94,9 @@
 ]
 
 
-def seen_after_steps() -> list[Seen]:
-    """What is on the disk after none, one, two ... of the steps."""
-    seen = []
+def contents_after_steps() -> list[Contents]:
+    """Return the contents of the disk after no step, one step, two steps and so on."""
+    contents = []
     for n_steps in range(len(STEPS) + 1):
         disk = files.FakeFiles()
         store = storage.Storage(disk, FOLDER, 300)
@@ -104,8 +104,8 @@
         for _, step in STEPS[:n_steps]:
             step(store)
         disk.lose_power()
-        seen.append(look(disk))
-    return seen
+        contents.append(read_contents(disk))
+    return contents
 
 
 def n_operations() -> int:
@@ -118,7 +118,7 @@
 
 
 def run_until_power_cut(fails_at: int) -> tuple[files.FakeFiles, int]:
-    """Return the disk and how many steps were acknowledged before the cut."""
+    """Return the disk, and how many steps were acknowledged before the power loss."""
     disk = files.FakeFiles()
     disk.fails_at = fails_at
     n_acknowledged = -1
@@ -134,59 +134,62 @@
     return disk, n_acknowledged
 
 
-def covers(seen: Seen, acknowledged: Seen) -> bool:
-    """Tell whether all that was acknowledged is still there, or was replaced."""
-    if seen.hard_state.term < acknowledged.hard_state.term:
+def covers(contents: Contents, acknowledged: Contents) -> bool:
+    """Return whether all acknowledged data is present or was overwritten."""
+    if contents.hard_state.term < acknowledged.hard_state.term:
         return False
-    same_term = seen.hard_state.term == acknowledged.hard_state.term
-    if same_term and seen.hard_state != acknowledged.hard_state:
+    same_term = contents.hard_state.term == acknowledged.hard_state.term
+    if same_term and contents.hard_state != acknowledged.hard_state:
         return False
-    return seen.snapshot_index >= acknowledged.snapshot_index
+    return contents.snapshot_index >= acknowledged.snapshot_index
 
 
 class PowerCut(unittest.TestCase):
-    """The power goes between any write and its sync."""
+    """The power is lost at any time, for example between a write and its sync."""
 
     @tools.params(*LEFTOVERS)
     def test_nothing_acknowledged_is_lost(self, leftover: str) -> None:
-        """The operator restarts a host whose power went at any moment.
+        """A host restarts after a power loss at any operation.
 
-        Each write may have reached the disk whole, in part, or damaged, and names may
-        or may not be there. What was answered for must be there; what was under way
-        may be, but only whole.
+        Each unsynced write may be on the disk completely, partially or damaged, and
+        unsynced names may be present or not. Acknowledged data must be present; data of
+        the interrupted step must be present completely or not at all.
         """
-        wanted = seen_after_steps()
+        wanted = contents_after_steps()
         for fails_at in range(n_operations() + 1):
             disk, n_acknowledged = run_until_power_cut(fails_at)
             disk.lose_power(LEFTOVERS[leftover])
-            seen = look(disk)
+            contents = read_contents(disk)
             if n_acknowledged < 0:
-                self.assertEqual(seen, wanted[0], f"operation {fails_at}")
+                self.assertEqual(contents, wanted[0], f"operation {fails_at}")
                 continue
             before = wanted[n_acknowledged]
             after = wanted[min(n_acknowledged + 1, len(STEPS))]
             with self.subTest(operation=fails_at, step=n_acknowledged):
-                self.assertTrue(covers(seen, before), (seen, before))
-                self.assert_between(seen, before, after)
+                self.assertTrue(covers(contents, before), (contents, before))
+                self.assert_between(contents, before, after)
 
-    def assert_between(self, seen: Seen, before: Seen, after: Seen) -> None:
-        self.assertIn(seen.hard_state, (before.hard_state, after.hard_state))
+    def assert_between(
+        self, contents: Contents, before: Contents, after: Contents
+    ) -> None:
+        self.assertIn(contents.hard_state, (before.hard_state, after.hard_state))
         self.assertIn(
-            seen.snapshot_index, (before.snapshot_index, after.snapshot_index)
+            contents.snapshot_index, (before.snapshot_index, after.snapshot_index)
         )
         allowed = [
-            tuple(each for each in terms if each[0] > seen.snapshot_index)
+            tuple(each for each in terms if each[0] > contents.snapshot_index)
             for terms in (before.terms_by_index, after.terms_by_index)
         ]
-        self.assertIn(seen.terms_by_index, allowed)
+        self.assertIn(contents.terms_by_index, allowed)
 
     def test_second_cut_while_starting(self) -> None:
-        """The power goes again while the host starts after the first cut.
+        """The power is lost again while the host starts after the first loss.
 
-        The tail was torn; opening cuts it and starts a segment. A cut at any operation
-        of that must leave a folder that opens again with the same content.
+        The log has a torn tail, which the opening truncates before it starts a segment.
+        After a power loss at any operation of that, the folder must open again with the
+        same content.
         """
-        wanted = seen_after_steps()[2]
+        wanted = contents_after_steps()[2]
         for second in range(10):
             disk = files.FakeFiles()
             store = storage.Storage(disk, FOLDER)
@@ -202,19 +205,19 @@
                 storage.Storage(disk, FOLDER).open()
             disk.lose_power(LEFTOVERS["half, names"])
             with self.subTest(second=second):
-                self.assertEqual(look(disk), wanted)
+                self.assertEqual(read_contents(disk), wanted)
 
 
 class Killed(unittest.TestCase):
-    """A process is killed in the middle of a write; the power goes much later.
+    """A process is killed in the middle of a write; the power is lost much later.
 
-    The file still holds what was not synced, so the next life reads it, counts it as
-    its own and answers for it. Unless it is synced then, the power takes it, and a
-    majority that was counted with it was none.
+    The file still has the unsynced data, so the next incarnation reads it and
+    acknowledges it. Unless that incarnation syncs it, the power loss erases it, and a
+    majority that was counted with it did not exist.
     """
 
     @tools.params(*LEFTOVERS)
-    def test_what_was_read_after_a_kill_outlasts_the_power(self, leftover: str) -> None:
+    def test_data_read_after_a_kill_survives_a_power_loss(self, leftover: str) -> None:
         for killed_at in range(n_operations()):
             disk, _ = run_until_power_cut(killed_at)
             disk.fails_at = None
@@ -226,13 +229,13 @@
             again.append([events.Write(99, events.HardState(9, "x"), more)])
             held += [(each.index, each.term) for each in more]
             disk.lose_power(LEFTOVERS[leftover])
-            seen = look(disk)
-            self.assertEqual(list(seen.terms_by_index), held, killed_at)
-            self.assertEqual(seen.snapshot_index, recovered.snapshot_index)
+            contents = read_contents(disk)
+            self.assertEqual(list(contents.terms_by_index), held, killed_at)
+            self.assertEqual(contents.snapshot_index, recovered.snapshot_index)
 
 
 class Damage(unittest.TestCase):
-    """Bytes that were synced have changed."""
+    """Synced bytes have changed."""
 
     def folder(self, segment_bytes: int = 10_000) -> files.FakeFiles:
         disk = files.FakeFiles()
@@ -243,10 +246,10 @@
         return disk
 
     def test_damage_before_the_tail_is_refused(self) -> None:
-        """A byte in the middle of the log has rotted.
+        """A byte in the middle of the log is corrupted.
 
-        Going on without what follows, the replica would forget votes and entries that
-        it answered for; so it stops, and says where.
+        If the replica dropped the log from there on, it would lose votes and entries
+        that it acknowledged. So opening must fail.
         """
         disk = self.folder()
         last_frame = disk.read(f"{FOLDER}/log-1").rfind(frames.MAGIC)
@@ -276,9 +279,9 @@
             storage.Storage(disk, FOLDER).open()
 
     def test_copy_of_a_log_in_a_command_is_no_damage(self) -> None:
-        """A command holds the bytes of another host's log, and its write was torn.
+        """A command contains the bytes of another host's log, and its write is torn.
 
-        The good frames inside the torn one must not make it look like damage.
+        The good frames inside the torn frame must not be classified as damage.
         """
         other = self.folder().read(f"{FOLDER}/log-1")
         disk = files.FakeFiles()
@@ -290,22 +293,22 @@
         with self.assertRaises(files.PowerLostError):
             store.append([events.Write(2, events.HardState(1, "r1"), (entry,))])
         disk.lose_power(files.Leftover(bytes_share=0.9))
-        self.assertEqual(look(disk).hard_state, events.HardState(1, "r1"))
+        self.assertEqual(read_contents(disk).hard_state, events.HardState(1, "r1"))
 
 
 class FullDisk(unittest.TestCase):
-    """A disk takes no more bytes for some seconds.
+    """A disk is full for some seconds.
 
-    The replica stops. Its process must not end before the disk takes writes again, or
-    it would be started and end every second.
+    The replica stops. Its process must not exit before writes succeed again, or it
+    would be restarted and exit every second.
     """
 
     def test_probe(self) -> None:
         disk = files.FakeFiles()
         store = storage.Storage(disk, FOLDER, 300)
-        self.assertTrue(store.takes_writes())
+        self.assertTrue(store.accepts_writes())
         disk.write = unittest.mock.Mock(side_effect=OSError(28, "full"))
-        self.assertFalse(store.takes_writes())
+        self.assertFalse(store.accepts_writes())
 
     @tools.params(
         ("runs", "", False, ""),
@@ -317,7 +320,7 @@
         self, name: str, failure: str, waits: bool, expected: str
     ) -> None:
         replica = unittest.mock.Mock(failure=failure)
-        replica.waits_for_disk.return_value = waits
+        replica.is_waiting_for_disk.return_value = waits
         self.assertEqual(groups.failure_of(replica), expected, name)
 
 
--- a/tests/test_state_succession.py
+++ b/tests/test_state_succession.py
@@ -1,4 +1,4 @@
-"""How long a group is without a leader once its leader is gone."""
+"""How long a group has no leader after its leader crashed."""
 
 import statistics
 import unittest
@@ -11,9 +11,9 @@
 
 
 def seconds_without_leader(n_hosts, seed, n_lost=0):
-    """Crash the leader, and some of the others; return how long nobody leads.
+    """Crash the leader and some of the others; return the time without a leader.
 
-    Messages take up to some 40 ms here, and syncs as long: no less than on a busy site.
+    Messages and syncs take up to about 40 ms each here, as much as on a busy site.
     """
     group = replica_group.Group(n_hosts, seed)
     group.run(3.0)
@@ -29,12 +29,13 @@
 
 
 class Succession(unittest.TestCase):
-    """The leader's process is killed; the others notice by its silence.
+    """The leader's process is killed; the others detect it by the missing heartbeats.
 
-    Until another leads nothing is committed and no item of a batch runs: what each
-    loss takes is added to the step that is under way. With times to stand drawn from
-    one more timeout, the means of 80 seeds were 0.96, 0.92 and 0.97 s, and one loss in
-    ten took 1.2 s; with turns 0.80, 0.79 and 0.88 s, and one in ten 0.9 to 1.0 s.
+    Until there is a new leader, nothing is committed and no item of a batch runs, so
+    each loss delays the current training step. With deadlines drawn at random from a
+    second timeout, the mean times were 0.96, 0.92 and 0.97 s (80 seeds), and one loss
+    in ten took 1.2 s. With staggered deadlines they are 0.80, 0.79 and 0.88 s, and one
+    loss in ten takes 0.9 to 1.0 s.
     """
 
     @tools.params((3, 0, 0.87), (5, 0, 0.86), (5, 1, 0.93))
--- a/tests/test_text_schedules.py
+++ b/tests/test_text_schedules.py
@@ -1,6 +1,6 @@
 """Randomised schedules over unfinished texts, and what each leader takes up of them.
 
-The troubles are in `tests.fakes.group_troubles`; what leaders do, and the checks, are
+The troubles are in `tests.fakes.group_faults`; what leaders do, and the checks, are
 in `tests.fakes.text_group`. BILBERRYDRUM_SCHEDULES sets how many schedules are run.
 """
 
@@ -13,7 +13,7 @@
 from hypothesis import strategies
 
 from tests import schedules_support
-from tests.fakes import group_troubles, text_group
+from tests.fakes import group_faults, text_group
 
 N_SCHEDULES = int(os.environ.get("BILBERRYDRUM_SCHEDULES", "120"))
 N_TROUBLES = 6
@@ -26,7 +26,7 @@
     group = text_group.TextGroup(3, seed, n_voters=3)
     group.add_host("h3")
     group.run(1.5)
-    group_troubles.trouble(group, rng, N_TROUBLES, SECONDS)
+    group_faults.inject_faults(group, rng, N_TROUBLES, SECONDS)
     group.settle()
     return group
 
--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies
 from nose2 import tools
 
-from bilberrydrum.state import tenure
+from bilberrydrum.state import fencing
 from bilberrydrum.usage import meter, model
 from tests import helpers
 from tests.fakes import usage_world
@@ -140,15 +140,15 @@
         """A leads, B leads and acts, A leads again: A waits until its turn is over."""
         with usage_world.world() as made:
             first, second = made.replicas[:2]
-            right = tenure.Tenure(first, 3.0, True)
-            self.assertIsNotNone(right.take_number())
+            right = fencing.FencingGuard(first, 3.0, True)
+            self.assertIsNotNone(right.acquire_number())
             made.group.elect(second)
-            self.assertIsNone(right.take_number())
+            self.assertIsNone(right.acquire_number())
             made.group.elect(first)
             made.clock.advance(2.0)
-            self.assertIsNone(right.take_number())
+            self.assertIsNone(right.acquire_number())
             made.clock.advance(1.5)
-            self.assertIsNotNone(right.take_number())
+            self.assertIsNotNone(right.acquire_number())
 
     @tools.params((True, 1), (False, None))
     def test_new_holder(self, is_fenced, expected):
@@ -157,10 +157,10 @@
             group = usage_world.Group(clock)
             replica = usage_world.Replica(group)
             group.elect(replica)
-            right = tenure.Tenure(replica, 3.0, is_fenced)
-            self.assertEqual(right.take_number(), expected)
+            right = fencing.FencingGuard(replica, 3.0, is_fenced)
+            self.assertEqual(right.acquire_number(), expected)
             clock.advance(3.0)
-            self.assertEqual(right.take_number(), 1)
+            self.assertEqual(right.acquire_number(), 1)
 
 
 STEPS = strategies.lists(
