--- a/bilberrydrum/batches/service.py
+++ b/bilberrydrum/batches/service.py
@@ -317,7 +317,7 @@
         # The batch may still be committed. If the answer said that it was not, the
         # gateway would refuse the batch with the promise that it never runs.
         is_unclear = proposed.err_value.may_have_applied
-        return leader_service.UNCLEAR if is_unclear else None
+        return leader_service.UNKNOWN_OUTCOME if is_unclear else None
 
     def _on_read(self, sender: transport.Sender, message: messages.Read) -> Any:
         deadline = clock.now() + message.wait_seconds
--- a/bilberrydrum/curve.py
+++ b/bilberrydrum/curve.py
@@ -1,4 +1,4 @@
-"""The daemon's CURVE keys, as the transport wants them."""
+"""Load the daemon's CURVE keys for the transport."""
 
 import result
 
@@ -29,8 +29,8 @@
     }
     known = keys_by_address.setdefault(process_options.peer_address, public)
     if known != public:
-        # Peers would take this process for another one and refuse it, which looks
-        # like a network fault from here.
+        # Peers would expect another key from this process and refuse its connections,
+        # which looks like a network fault from here.
         message = (
             f"the key of {process_options.peer_address} is not the public key"
             f" in {curve.key_file}"
--- a/bilberrydrum/state/applier.py
+++ b/bilberrydrum/state/applier.py
@@ -1,7 +1,7 @@
 """Apply committed entries to the state, in order.
 
-The applier is deterministic: every replica that applies the same entries holds the same
-state and the same answers.
+The applier is deterministic: all replicas that apply the same entries have the same
+state and compute the same answers.
 """
 
 from collections.abc import Callable
@@ -18,18 +18,20 @@
 
 @attrs.frozen
 class Applied:
-    """What became of one entry."""
+    """The result of applying one entry."""
 
     index: int
     term: int
-    # Codec bytes of the answer; None: the session is not known any more.
+    # The encoded answer. None if there is none: the entry is not a command, its
+    # session has expired, or the client has already acknowledged the answer.
     answer: bytes | None = None
-    # The command's function ran now, not at an earlier sending of it.
+    # What the command's apply function returned. None if it did not run for this
+    # entry, for example because the same command was applied before.
     value: Any = None
 
 
 class Applier:
-    """The state and how far the log is applied to it."""
+    """The state, and the position of the last log entry applied to it."""
 
     def __init__(self) -> None:
         self.state = machine.State()
@@ -40,11 +42,14 @@
         self._watchers: list[Watcher] = []
 
     def watch(self, callback: Watcher) -> None:
-        """Call `callback(command, answer)` after each command."""
+        """Call `callback(command, answer)` after each command that did not fail."""
         self._watchers.append(callback)
 
     def restore(self, data: bytes, state: machine.State | None = None) -> None:
-        """Replace the state by that of a snapshot, decoded already if `state`."""
+        """Replace the state by that of a snapshot, unless the snapshot is older.
+
+        `state` is the decoded state of the snapshot; None: it is decoded here.
+        """
         header = snapshot.read(data)
         if header.index <= self.index:
             return
@@ -55,16 +60,16 @@
         self.membership = header.membership
 
     def header(self) -> snapshot.Header:
-        """Return where in the log the state stands."""
+        """Return the snapshot header that describes the current state."""
         return snapshot.Header(self.index, self.term, self.time, self.membership)
 
     def apply(self, entry: log.Entry, command: object | None = None) -> Applied | None:
-        """Apply one entry; `command` is what it holds, if decoded already.
+        """Apply one entry; `command` is its command, if already decoded.
 
         Returns
         -------
         Applied or None
-            None for an entry that the state already holds.
+            None for an entry that was already applied.
         """
         if entry.index <= self.index:
             return None
@@ -90,7 +95,8 @@
         sessions.forget_answers(session, item.lowest_pending)
         answer = session.answers_by_number.get(item.number)
         if answer is not None or item.number < session.floor:
-            # Sent again after a lost answer: the first answer stands.
+            # The client has sent the command again, because the answer was lost. The
+            # command is not applied twice; the client gets the first answer.
             return Applied(entry.index, entry.term, answer)
         answer, value = self._run(entry, item.data, command)
         sessions.keep_answer(session, item.number, answer)
@@ -100,8 +106,9 @@
         self, entry: log.Entry, data: bytes, command: object | None
     ) -> tuple[bytes, Any]:
         if command is None:
-            # A class of a newer release ends the replica here: going on without the
-            # command, it would hold another state than the rest of the group.
+            # If the command's class is from a newer release, decoding fails and the
+            # replica stops. If it skipped the command, its state would differ from
+            # that of the other replicas.
             command = codec.decode(data)
         context = machine.Context(entry.index, entry.time)
         try:
--- a/bilberrydrum/state/applying.py
+++ b/bilberrydrum/state/applying.py
@@ -1,10 +1,11 @@
-"""The replica's applying task: entries into the state, answers out, snapshots.
+"""Apply committed entries, answer their clients and make snapshots.
 
-A snapshot is encoded in a thread. The state does not change meanwhile, as this task
-applies nothing, and heartbeats go on. At the leader, no command is answered for that
-time: 2.8 s for 250,000 claims with their results. So the leader waits for twice as many
-entries, by when the others have made theirs, and hands a large state's leadership over
-first; a follower that applies nothing holds nobody up.
+A snapshot is encoded in a thread. This task applies no entries meanwhile, so the state
+does not change, and heartbeats continue. While the leader encodes a snapshot, it
+answers no commands: for 2.8 s with 250,000 claims and their results. Therefore the
+leader waits for twice as many entries as a follower before it makes a snapshot, by when
+the followers have made theirs, and first transfers the leadership if its state is
+large. A follower that applies no entries delays no client.
 """
 
 import random
@@ -17,9 +18,9 @@
 from bilberrydrum import clock
 from bilberrydrum.state import (
     applier,
+    client_requests,
     disk,
     events,
-    intake,
     leader,
     node,
     serving,
@@ -27,18 +28,20 @@
     storage,
 )
 
-# A snapshot is made sooner if the log's commands take this much memory.
+# A snapshot is made earlier if the commands in the log take this many bytes.
 MAX_LOG_BYTES: Final = 32 * 1024 * 1024
-# A snapshot of this size takes about a tenth of a second to encode.
+# The leader transfers the leadership before it makes a snapshot if its last snapshot
+# had at least this many bytes. Encoding that many takes about a tenth of a second.
 HANDOVER_BYTES: Final = 4 * 1024 * 1024
-# Entries until a snapshot at the leader, as a multiple of those at a follower.
+# The leader makes a snapshot after this many times as many entries as a follower.
 LEADER_FACTOR: Final = 2
-# Snapshots are made after as many entries, give or take this share.
-SPREAD: Final = 0.2
-# Time for the leadership to pass on before the snapshot is made all the same.
-_HANDOVER_SECONDS: Final = 1.0
-# Entries applied before other tasks run.
-_SLICE: Final = 64
+# The number of entries between two snapshots varies randomly by up to this fraction.
+JITTER: Final = 0.2
+# Seconds for the leadership transfer. The snapshot is made after that even if this
+# replica still leads.
+_TRANSFER_SECONDS: Final = 1.0
+# Number of entries applied before other tasks get to run.
+_ENTRIES_PER_SLICE: Final = 64
 
 
 class ApplyTask:
@@ -46,9 +49,9 @@
 
     def __init__(
         self,
-        owner: intake.Owner,
+        replica: client_requests.LocalReplica,
         applied: applier.Applier,
-        clients: intake.Intake,
+        clients: client_requests.ClientRequests,
         store: storage.Storage,
         disk_task: disk.DiskTask,
         snapshot_entries: int,
@@ -58,64 +61,67 @@
     ) -> None:
         self._handover_bytes = handover_bytes
         self._max_log_bytes = max_log_bytes
-        self._owner = owner
+        self._replica = replica
         self._applier = applied
-        self._intake = clients
+        self._clients = clients
         self._store = store
         self._disk = disk_task
         self._snapshot_entries = snapshot_entries
         self._rng = rng
-        self._spread = self._draw_spread()
+        self._jitter = self._draw_jitter()
         self._effects: Any = eventlet.queue.Queue()
 
-    def put(self, effect: events.Commit | events.Restore | serving.Save) -> None:
-        """Have entries or a received snapshot applied, or the state encoded."""
+    def put(
+        self, effect: events.Commit | events.Restore | serving.SnapshotQuery
+    ) -> None:
+        """Queue committed entries, a received snapshot or a query for a snapshot."""
         self._effects.put(effect)
 
     def run(self) -> None:
-        """Apply what is put, in order."""
+        """Process the queued effects, in order."""
         while True:
             effect = self._effects.get()
             if isinstance(effect, events.Restore):
                 restored = tpool.execute(snapshot.decode, effect.data)
                 self._applier.restore(effect.data, restored)
-                self._intake.waiters.clear(effect.index)
+                self._clients.waiters.clear(effect.index)
                 continue
-            if isinstance(effect, serving.Save):
-                self._intake.saved(effect, self._encode())
+            if isinstance(effect, serving.SnapshotQuery):
+                self._clients.send_snapshot(effect, self._encode())
                 continue
             for i, entry in enumerate(effect.entries, 1):
-                command = self._intake.waiters.command(entry.index, entry.term)
+                command = self._clients.waiters.command(entry.index, entry.term)
                 applied = self._applier.apply(entry, command)
                 if applied is not None:
-                    self._intake.waiters.applied(applied)
-                if i % _SLICE == 0:
-                    self._intake.waiters.outbox.flush()
+                    self._clients.waiters.complete(applied)
+                if i % _ENTRIES_PER_SLICE == 0:
+                    self._clients.waiters.outbox.flush()
                     eventlet.sleep(0)
-            self._intake.waiters.outbox.flush()
-            self._intake.serve_reads()
+            self._clients.waiters.outbox.flush()
+            self._clients.serve_reads()
             if self.snapshot_is_due():
-                self.hand_over()
+                self.transfer_leadership()
                 self._make_snapshot()
 
     def snapshot_is_due(self) -> bool:
-        """Tell whether enough was applied since the last snapshot."""
-        n_entries = self._applier.index - self._owner.node.snapshot_index
-        limit = self._snapshot_entries * self._spread
-        if isinstance(self._owner.node.role, node.Leader):
+        """Return whether enough was applied since the last snapshot for a new one."""
+        n_entries = self._applier.index - self._replica.node.snapshot_index
+        limit = self._snapshot_entries * self._jitter
+        if isinstance(self._replica.node.role, node.Leader):
             limit *= LEADER_FACTOR
         if n_entries >= limit:
             return True
-        return self._owner.node.log.n_bytes >= self._max_log_bytes and n_entries > 1
+        return self._replica.node.log.n_bytes >= self._max_log_bytes and n_entries > 1
 
-    def _draw_spread(self) -> float:
-        # All replicas count the same entries. In step, the leader would hand over to
-        # one that begins its own snapshot at the same moment.
-        return self._rng.uniform(1.0 - SPREAD, 1.0 + SPREAD)
+    def _draw_jitter(self) -> float:
+        # All replicas apply the same entries. With the same limit everywhere, the
+        # leader would transfer the leadership to a replica that starts to make its own
+        # snapshot at the same moment.
+        return self._rng.uniform(1.0 - JITTER, 1.0 + JITTER)
 
-    def hand_over(self) -> None:
-        """Pass the leadership on before a long pause, if someone can take it."""
-        state = self._owner.node
+    def transfer_leadership(self) -> None:
+        """Transfer the leadership before a long pause, if a replica can take over."""
+        state = self._replica.node
         role = state.role
         if (
             not isinstance(role, node.Leader)
@@ -124,19 +130,20 @@
             return
         if not leader.successor(state, role):
             return
-        self._owner.put(events.GiveUpLeadership())
-        deadline = clock.now() + _HANDOVER_SECONDS
+        self._replica.put(events.GiveUpLeadership())
+        deadline = clock.now() + _TRANSFER_SECONDS
         while state.role is role and clock.now() < deadline:
             clock.sleep(0.005)
 
     def _make_snapshot(self) -> None:
         header = self._applier.header()
-        self._spread = self._draw_spread()
+        self._jitter = self._draw_jitter()
         data = self._encode()
         tpool.execute(self._store.write_snapshot, header.index, data)
         self._disk.put(disk.Adopt(header.index, len(data)))
-        # The next one is not due before this one is in use.
-        while self._owner.node.snapshot_index < header.index:
+        # Waits until the core uses this snapshot. Before that, the next one would
+        # seem due, as its entries are counted from `snapshot_index`.
+        while self._replica.node.snapshot_index < header.index:
             clock.sleep(0.005)
 
     def _encode(self) -> bytes:
--- a/bilberrydrum/state/client.py
+++ b/bilberrydrum/state/client.py
@@ -1,9 +1,8 @@
-"""The gateways' way to the state group.
+"""The interface of the gateways to the state group.
 
-`StateClient` is what the other parts of the system see of the replicated state. It
-finds the leader, sends again when an answer is lost, and marks each command with a
-session and a sequence number, so that a command sent twice has one effect and one
-answer.
+The other parts of the system use the replicated state through `StateClient`. It finds
+the leader, retries when an answer is lost, and marks each command with a session and a
+sequence number, so that a command sent twice has one effect and one answer.
 """
 
 from typing import Any, Final, Protocol
@@ -13,15 +12,17 @@
 
 from bilberrydrum import problems, reasons
 
-# When a request that the state group did not answer should come back.
+# Seconds after which callers should retry a request that failed because the state
+# group did not answer.
 RETRY_AFTER_SECONDS: Final = 1.0
 
 
 @attrs.frozen
 class StateError:
-    """The state group gave no answer in time.
+    """The state group did not answer in time, or answered with an error.
 
-    `may_have_applied` tells whether the command may have been, or may yet be, applied.
+    `may_have_applied` is true if the command may have been applied or may still be
+    applied.
     """
 
     reason: reasons.Reason
@@ -29,7 +30,7 @@
     detail: str = ""
 
     def to_problem(self) -> problems.Problem:
-        """Return the problem document of a request that needed the answer."""
+        """Return the problem document for a request that depended on the answer."""
         outcome = problems.OUTCOME_NOT_RUN
         if self.may_have_applied:
             outcome = problems.OUTCOME_UNKNOWN
--- a/bilberrydrum/state/intake.py
+++ b/bilberrydrum/state/client_requests.py
@@ -1,4 +1,4 @@
-"""Clients' messages: commands into the log, queries to the leader, answers back."""
+"""Handle clients' messages: propose commands, answer queries at the leader."""
 
 from typing import Any, Final, Protocol
 
@@ -7,20 +7,21 @@
     applier,
     events,
     log,
+    membership_task,
     messages,
     node,
     queries,
     serving,
     sessions,
-    stewardship,
 )
 
-# Commands taken and not yet applied; beyond it clients are sent away to come again.
+# Most commands that are proposed and not yet applied. Further ones are refused, and
+# their clients retry.
 MAX_WAITERS: Final = 20_000
 
 
-class Owner(Protocol):
-    """What this module needs of the replica."""
+class LocalReplica(Protocol):
+    """What the tasks of this process use of its replica."""
 
     @property
     def node(self) -> node.Node:
@@ -28,51 +29,53 @@
 
     @property
     def failure(self) -> str:
-        """Why the replica has stopped; empty: it runs."""
+        """Why the replica has stopped; empty: it is running."""
 
     def put(self, event: Any) -> None:
-        """Let the core take in an event."""
+        """Queue an event for the core."""
 
     def next_ticket(self) -> int:
-        """Return a number for a proposal."""
+        """Return a new number that identifies a proposal."""
 
-    def save(self, request: serving.Save) -> None:
-        """Have the state encoded, and `Intake.saved` called with it."""
+    def save(self, request: serving.SnapshotQuery) -> None:
+        """Have the state encoded and passed to `ClientRequests.send_snapshot`."""
 
     def has_lease(self) -> bool:
         """Tell whether this replica holds the leader lease now."""
 
     def status(self) -> queries.Status:
-        """Return how the group stands."""
+        """Return the status of the group."""
 
 
-class Intake:
-    """The clients' side of one replica."""
+class ClientRequests:
+    """Handles the messages that clients send to this replica."""
 
     def __init__(
         self,
-        owner: Owner,
+        replica: LocalReplica,
         carrier: transport.Transport,
         applied: applier.Applier,
-        steward: stewardship.StewardTask,
+        membership_changes: membership_task.MembershipTask,
     ) -> None:
-        self._owner = owner
+        self._replica = replica
         self._carrier = carrier
         self._applier = applied
-        self._steward = steward
+        self._membership_changes = membership_changes
         self._waiters_by_ticket: dict[int, list[serving.Waiter]] = {}
-        self._saves: set[serving.Save] = set()
+        self._snapshot_queries: set[serving.SnapshotQuery] = set()
         self.waiters = serving.Waiters(carrier.send)
         self._reads = serving.Reads(self.waiters.outbox, self._answer)
 
     def listen(self) -> None:
-        """Take clients' messages from now on."""
+        """Register the handlers of the clients' messages."""
         self._carrier.on(messages.OpenSession, self._on_open_session)
         self._carrier.on(messages.Submit, self._on_submit)
         self._carrier.on(messages.Ask, self._on_ask)
 
-    def placed(self, effect: events.Accepted | events.NotLeader) -> None:
-        """Note what became of commands that were proposed."""
+    def handle_proposal_result(
+        self, effect: events.Accepted | events.NotLeader
+    ) -> None:
+        """Handle the core's decision on a proposal: accepted, or not the leader."""
         waiters = self._waiters_by_ticket.pop(effect.ticket)
         if isinstance(effect, events.NotLeader):
             self._refuse(waiters)
@@ -81,22 +84,26 @@
             waiter.term = effect.term
             self.waiters.add(effect.first_index + i, waiter)
 
-    def take(
+    def propose(
         self, items: list[tuple[int, bytes]], waiters: list[serving.Waiter]
     ) -> None:
-        """Propose commands; each waiter is answered in the end."""
+        """Propose commands; refuse them if too many wait or the replica has stopped.
+
+        `waiters` has one waiter for each of `items`.
+        """
         if len(self.waiters) + len(items) > MAX_WAITERS:
-            # Answered at once: waiting longer than its clients do, it would be sent
-            # again and again, and the log would fill with what nobody waits for.
+            # If commands waited here for longer than their clients do, the clients
+            # would send them again and again, and the log would fill with commands
+            # that no client waits for.
             counters.refused(reasons.Reason.QUEUE_FULL)
             self._refuse(waiters)
             return
-        if self._owner.failure:
+        if self._replica.failure:
             self._refuse(waiters)
             return
-        ticket = self._owner.next_ticket()
+        ticket = self._replica.next_ticket()
         self._waiters_by_ticket[ticket] = waiters
-        self._owner.put(events.Propose(tuple(items), serving.wall_time(), ticket))
+        self._replica.put(events.Propose(tuple(items), serving.wall_time(), ticket))
 
     def _refuse(self, waiters: list[serving.Waiter]) -> None:
         numbers_by_client: dict[tuple[str, str], list[int]] = {}
@@ -112,11 +119,11 @@
     def _redirect(
         self, address: str, client_id: str, numbers: list[int], is_query: bool
     ) -> None:
-        role = self._owner.node.role
+        role = self._replica.node.role
         leader_address = ""
         if isinstance(role, node.Follower) and role.leader_address != "":
             leader_address = role.leader_address
-        addresses = [each.peer_address for each in self._owner.node.members.replicas]
+        addresses = [each.peer_address for each in self._replica.node.members.replicas]
         self._carrier.send(
             address,
             messages.Redirect(client_id, numbers, is_query, leader_address, addresses),
@@ -126,7 +133,7 @@
         self, sender: transport.Sender, message: messages.OpenSession
     ) -> None:
         waiter = serving.Waiter(0, None, sender.address, message.client_id)
-        self.take([(log.KIND_OPEN_SESSION, message.client_id.encode())], [waiter])
+        self.propose([(log.KIND_OPEN_SESSION, message.client_id.encode())], [waiter])
 
     def _on_submit(self, sender: transport.Sender, submit: messages.Submit) -> None:
         items, waiters = [], []
@@ -134,7 +141,7 @@
             try:
                 command = codec.decode(item.data)
             except codec.DecodeError as error:
-                # Kept out of the log: a replica that cannot decode an entry stops.
+                # Must not reach the log: a replica that cannot decode an entry stops.
                 failed = codec.encode(messages.Failed(str(error)))
                 answer = messages.Item(item.number, failed)
                 self.waiters.outbox.add(sender.address, submit.client_id, answer)
@@ -158,11 +165,13 @@
                 )
             )
         if items:
-            self.take(items, waiters)
+            self.propose(items, waiters)
         self.waiters.outbox.flush()
 
     def _on_ask(self, sender: transport.Sender, ask: messages.Ask) -> None:
-        if self._owner.failure or not isinstance(self._owner.node.role, node.Leader):
+        if self._replica.failure or not isinstance(
+            self._replica.node.role, node.Leader
+        ):
             numbers = [each.number for each in ask.items]
             self._redirect(sender.address, ask.client_id, numbers, is_query=True)
             return
@@ -179,9 +188,13 @@
                 )
                 continue
             if isinstance(query, queries.SaveState):
-                self._save(serving.Save(sender.address, ask.client_id, item.number))
+                self._request_snapshot(
+                    serving.SnapshotQuery(sender.address, ask.client_id, item.number)
+                )
                 continue
-            if self._steward.takes(sender.address, ask.client_id, item.number, query):
+            if self._membership_changes.handle_operator_query(
+                sender.address, ask.client_id, item.number, query
+            ):
                 continue
             self._reads.add(
                 serving.Read(sender.address, ask.client_id, item.number, query, now)
@@ -190,20 +203,24 @@
 
     def _answer(self, query: object) -> Any:
         if isinstance(query, queries.GetStatus):
-            return self._owner.status()
+            return self._replica.status()
         return serving.answer_query(query, self._applier.state, self._applier.time)
 
-    def _save(self, request: serving.Save) -> None:
-        # A large state takes seconds to encode. Done here, it would stop the hub, and
-        # with it the heartbeats: each back-up would cost the leadership.
-        if request not in self._saves:
-            self._saves.add(request)
-            self._owner.save(request)
-
-    def saved(self, request: serving.Save, data: bytes) -> None:
-        """Answer a query for a snapshot, if it is still the group's state."""
-        self._saves.discard(request)
-        if not self._owner.has_lease():
+    def _request_snapshot(self, request: serving.SnapshotQuery) -> None:
+        # A large state takes seconds to encode. If it were encoded here, the hub would
+        # be blocked and the heartbeats with it, so that each backup would cost this
+        # replica the leadership.
+        if request not in self._snapshot_queries:
+            self._snapshot_queries.add(request)
+            self._replica.save(request)
+
+    def send_snapshot(self, request: serving.SnapshotQuery, data: bytes) -> None:
+        """Answer a query for a snapshot; without the lease, redirect the client.
+
+        Without the lease, the snapshot may lack commands that another leader committed.
+        """
+        self._snapshot_queries.discard(request)
+        if not self._replica.has_lease():
             numbers = [request.number]
             self._redirect(request.address, request.client_id, numbers, is_query=True)
             return
@@ -214,16 +231,18 @@
     def serve_reads(self) -> None:
         """Answer the reads that can be answered now."""
         self._reads.serve(
-            self._owner.node.commit_index, self._applier.index, self._owner.has_lease
+            self._replica.node.commit_index,
+            self._applier.index,
+            self._replica.has_lease,
         )
         self.waiters.outbox.flush()
 
     def expire_reads(self, now: float) -> None:
-        """Send on the clients whose reads have waited too long."""
-        for read in self._reads.take_expired(now):
+        """Redirect the clients whose reads have waited too long."""
+        for read in self._reads.pop_expired(now):
             self._redirect(read.address, read.client_id, [read.number], is_query=True)
 
-    def send_reads_on(self) -> None:
-        """Send on the clients whose reads wait; this replica leads no more."""
-        for read in self._reads.take_all():
+    def redirect_reads(self) -> None:
+        """Redirect the clients of all reads: this replica leads no longer."""
+        for read in self._reads.pop_all():
             self._redirect(read.address, read.client_id, [read.number], is_query=True)
--- a/bilberrydrum/state/commands.py
+++ b/bilberrydrum/state/commands.py
@@ -1,7 +1,7 @@
-"""What operators ask of the state group: membership changes, and a restore.
+"""Operators' requests to the state group: membership changes, and a restore.
 
-Membership changes are made by the leader, through its core. A restore is a command in
-the log, so that all replicas take it at the same place.
+The leader makes membership changes through its core. A restore is a command in the log,
+so that all replicas carry it out at the same index.
 """
 
 import attrs
@@ -13,7 +13,7 @@
 @codec.register("state.add-member")
 @attrs.frozen
 class AddMember:
-    """Let the empty replica of a process join as a learner, and vote when ready."""
+    """Add the empty replica of a process as a learner, to be promoted to a voter."""
 
     process_id: str
     peer_address: str
@@ -33,7 +33,7 @@
     """The answer to a membership change."""
 
     is_made: bool
-    # Why it is not made.
+    # Why the change was not made.
     detail: str = ""
 
 
@@ -52,7 +52,7 @@
 
     is_restored: bool
     digest: str = ""
-    # Why it is not restored.
+    # Why the state was not restored.
     detail: str = ""
 
 
@@ -60,22 +60,22 @@
 def _apply_restore(
     command: RestoreState, state: machine.State, context: machine.Context
 ) -> Restored:
-    """Take the sections of a back-up, but let no number fall that must only rise.
+    """Replace the state by that of a backup, but lower no monotonic number.
 
     Gateways and upstreams remember the highest fencing number and bundle version that
-    they have met. Started again from lower ones, the group would give orders that are
-    refused, or give one bundle version two contents.
+    they have seen. If the group continued from lower ones, its orders would be refused,
+    or the same bundle version would be given to two different bundles.
     """
     try:
         restored = snapshot.decode(command.data)
     except (snapshot.SnapshotError, codec.DecodeError) as error:
         return Restored(False, detail=str(error))
-    # The members' clients go on in their sessions of today.
+    # The current sessions are kept, because clients continue to use them.
     restored.sections.pop(sessions.SECTION, None)
     current_sessions = state.sections.pop(sessions.SECTION, None)
     for name, current in state.sections.items():
-        # A back-up from before a section's first entry lacks it; its numbers have
-        # risen all the same.
+        # A backup that was made before the first entry of a section lacks the section.
+        # It is added empty, so that its numbers are raised to the current ones below.
         restored.section(name, type(current))
     for name, section in restored.sections.items():
         machine.keep_rising(section, state.sections.get(name))
--- a/bilberrydrum/state/controller.py
+++ b/bilberrydrum/state/controller.py
@@ -1,4 +1,4 @@
-"""The task that holds, or waits for, the right to order upstreams about."""
+"""Acquire and renew the controller lease, the right to send orders to upstreams."""
 
 import random
 import secrets
@@ -10,12 +10,12 @@
 from bilberrydrum import clock, options
 from bilberrydrum.state import client, controller_commands, controller_lease
 
-# Commands of a process that is going down are not waited for longer than this.
+# Seconds that a stopping process waits until its release of the lease is answered.
 _RELEASE_TIMEOUT_SECONDS: Final = 1.0
 
 
 class Controller:
-    """Keeps `interfaces.ControllerLease` for this process."""
+    """Implements `interfaces.ControllerLease` for this process."""
 
     def __init__(self, options_: options.Options, state: client.StateClient) -> None:
         upstreams = options_.upstreams
@@ -32,11 +32,11 @@
         self._task: Any = None
 
     def start(self) -> None:
-        """Start to stand for the right."""
+        """Start trying to acquire the lease."""
         self._task = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """Give the right back if it is held."""
+        """Stop, and release the lease if this process holds it."""
         if self._task is not None:
             self._task.kill()
             self._task = None
@@ -51,34 +51,36 @@
             )
 
     def fencing_number(self) -> int | None:
-        """Return the number for an order sent now; None: no order may be sent.
+        """Return the fencing number for an order sent now; None: none may be sent.
 
-        The lease is checked at each call: a process that was stopped for a while
-        wakes up with an order in hand.
+        The lease is checked at each call, because it may have expired while the
+        process was suspended just before it sent an order.
         """
         return self._decision.fencing_number(clock.now())
 
     def may_order_unfenced(self) -> bool:
-        """Tell whether upstreams that ignore the number may be given orders."""
+        """Return whether upstreams that ignore the number may be sent orders."""
         return self._decision.may_order_unfenced(clock.now())
 
     def _run(self) -> None:
         while True:
             try:
-                self._take_turn()
+                self._run_once()
             except Exception:
-                # Were this task to end, this process could hold the right no more.
+                # If this task ended, this process could not acquire or renew the lease
+                # until it is restarted.
                 eliot.write_traceback()
                 self._decision.step(clock.now(), controller_lease.Unanswered())
-            # Candidates that look at the same moment would all take over at once.
+            # Without the jitter, candidates that were started together would poll at
+            # the same moments and all try to take over at once.
             clock.sleep(self._decision.delay * random.uniform(1.0, 1.1))
 
-    def _take_turn(self) -> None:
+    def _run_once(self) -> None:
         effects = self._decision.step(clock.now(), controller_lease.Due())
         while effects:
-            effects = self._ask(effects[0].message)
+            effects = self._send(effects[0].message)
 
-    def _ask(self, message: object) -> list[Any]:
+    def _send(self, message: object) -> list[Any]:
         held = self._decision.number
         sent_at = clock.now()
         timeout = self._decision.timing.lease_seconds
--- a/bilberrydrum/state/controller_commands.py
+++ b/bilberrydrum/state/controller_commands.py
@@ -1,9 +1,9 @@
-"""Commands and query on the right to order upstreams about.
+"""Commands and query for the controller lease, the right to send orders to upstreams.
 
-One process at a time holds it, under a fencing number that rises with each holder. No
-wall clock is compared: a candidate takes the right over by naming the renewal it saw
-last, after it has waited a whole lease, by its own monotonic clock, without seeing
-another. Any renewal committed in between makes the take-over fail.
+One process at a time holds the lease, under a fencing number that rises with each
+holder. Wall clocks are not compared. A candidate first waits for the length of a lease,
+by its own monotonic clock, in which it sees no renewal. Its takeover then names the
+last renewal that it saw, and fails if another renewal was committed in between.
 """
 
 from typing import Final
@@ -15,37 +15,38 @@
 
 SECTION: Final = "controller"
 
-# Stands for the unknown holder after the state was restored from a copy.
+# Holder after the state was restored from a backup: the real one is not known.
 RESTORED: Final = "(restored)"
 
 
 @codec.register("controller.section")
 @attrs.define
 class Section:
-    """Who holds the right."""
+    """The holder of the lease."""
 
-    # The fencing number of the holder, or of the last one; it only rises.
+    # The fencing number of the holder, or of the last holder; it never falls.
     number: int = 0
-    # Process id; empty: nobody holds the right.
+    # Process id of the holder; empty: the lease is free.
     holder: str = ""
-    # Drawn by the holder at its start.
+    # Random token that the holder drew when its process started.
     token: str = ""
     n_renewals: int = 0
-    # The holder's lease, in seconds.
+    # Length of the holder's lease, in seconds.
     lease_seconds: float = 0.0
-    # Wall clock of the last renewal: a hint of when to look closer, no more.
+    # Wall clock time of the last renewal. It only determines how often candidates
+    # poll, never who holds the lease.
     renewed_at: float = 0.0
 
 
 @codec.register("controller.acquire")
 @attrs.frozen
 class AcquireController:
-    """Take the right over; answered by `ControllerState`."""
+    """Acquire the lease; answered by `ControllerState`."""
 
     process_id: str
-    # Tells this life of the process from its earlier ones.
+    # Distinguishes this incarnation of the process from its earlier ones.
     token: str
-    # What the candidate saw a whole lease ago.
+    # Number and renewals of the holder that the candidate saw one lease ago.
     seen_number: int
     seen_n_renewals: int
     lease_seconds: float
@@ -54,7 +55,7 @@
 @codec.register("controller.renew")
 @attrs.frozen
 class RenewController:
-    """Keep the right; answered by `ControllerState`."""
+    """Renew the lease; answered by `ControllerState`."""
 
     process_id: str
     number: int
@@ -63,7 +64,7 @@
 @codec.register("controller.release")
 @attrs.frozen
 class ReleaseController:
-    """Give the right back; answered by `ControllerState`."""
+    """Release the lease; answered by `ControllerState`."""
 
     process_id: str
     number: int
@@ -72,27 +73,28 @@
 @codec.register("controller.ask")
 @attrs.frozen
 class AskController:
-    """Ask who holds the right; answered by `ControllerState`."""
+    """Ask who holds the lease; answered by `ControllerState`."""
 
 
 @codec.register("controller.state")
 @attrs.frozen
 class ControllerState:
-    """Who holds the right."""
+    """The holder of the lease."""
 
     number: int
     holder: str
     token: str
     n_renewals: int
     lease_seconds: float
-    # Processes that may look from time to time.
+    # Number of registered processes, each of which may poll.
     n_processes: int = 0
-    # Time since the last renewal by the leader's wall clock; a hint.
+    # Seconds since the last renewal, by the leader's wall clock. It only determines
+    # how often candidates poll.
     silent_seconds: float = 0.0
 
 
 def read(state: machine.State) -> Section:
-    """Return the section of `state`, for readers, who must not change the state."""
+    """Return the section of `state` for reading; callers must not change it."""
     section: Section = state.sections.get(SECTION) or Section()
     return section
 
@@ -103,8 +105,9 @@
 ) -> ControllerState:
     section = _section_of(state)
     seen = (command.seen_number, command.seen_n_renewals)
-    # The holder renewed, or another candidate came first, since the candidate looked.
-    # Without this check two processes would hold the right at the same time.
+    # The numbers differ if, since the candidate polled, the holder has renewed or
+    # another candidate has taken over. Without this check two processes would hold the
+    # lease at the same time.
     if seen == (section.number, section.n_renewals):
         section.number = processes.next_number(section.number, context)
         section.n_renewals = 0
@@ -139,13 +142,13 @@
 
 @machine.keep_rising.register
 def _(section: Section, current: Section | None) -> None:
-    """Keep the number rising when an older copy of the state is restored."""
+    """Keep the number from falling when an older backup is restored."""
     if current is not None and current.number >= section.number:
         for field in attrs.fields(Section):
             setattr(section, field.name, getattr(current, field.name))
         return
-    # Whoever held the right before the restore may still act on its lease, so the
-    # right does not count as given back.
+    # The holder before the restore may continue to send orders until its lease
+    # expires, so the lease must not appear to be free.
     section.holder = RESTORED
     section.n_renewals = 0
 
--- a/bilberrydrum/state/joining.py
+++ b/bilberrydrum/state/joining.py
@@ -8,7 +8,7 @@
 from typing import Any, Final, Protocol
 
 from bilberrydrum import clock, interfaces, options, transport
-from bilberrydrum.state import events, founding, messages, node, stewardship
+from bilberrydrum.state import events, founding, membership_task, messages, node
 
 # A replica that heard no leader for this long asks whether it was removed. Longer than
 # any election.
@@ -44,7 +44,7 @@
         owner: Owner,
         opts: options.Options,
         carrier: transport.Transport,
-        steward: stewardship.StewardTask,
+        steward: membership_task.MembershipTask,
     ) -> None:
         self._owner = owner
         self._options = opts
@@ -108,7 +108,7 @@
         )
         self._carrier.answer(sender, reply)
         if probe.is_empty and isinstance(state.role, node.Leader):
-            self._steward.joins(probe, sender.address)
+            self._steward.record_join_request(probe, sender.address)
 
     def _has_removed(self, probe: messages.Probe) -> bool:
         """Tell whether the group, led from here, goes on without the asking replica."""
--- a/bilberrydrum/state/leader_calls.py
+++ b/bilberrydrum/state/leader_calls.py
@@ -1,11 +1,11 @@
-"""Calls that the leader of a group answers, from any process.
-
-A replica that does not lead answers `NotLeading` with the leader it knows of. The
-caller follows such hints and moves on from replicas that are silent, until its time is
-up. A call may therefore be carried out more than once, by the same leader or by two in
-turn: every message served this way must be safe to repeat. The serving side is in
-`leader_service`, apart: a gateway, which only calls, would otherwise import the whole
-replica, a fifth of its time to start.
+"""Calls from any process to the leader of a group.
+
+A replica that does not lead answers `NotLeading`, with the leader that it knows of. The
+caller follows these hints, and tries another replica if one does not answer, until its
+timeout. A call may therefore be carried out more than once, by one leader or by two
+successive ones: every message that is served this way must be idempotent. The serving
+side is in a module of its own, `leader_service`, because a gateway only calls. If it
+had to import the replica too, that import would take a fifth of its start-up time.
 """
 
 from collections.abc import Sequence
@@ -18,26 +18,26 @@
 from bilberrydrum import clock, codec, counters, reasons, transport
 from bilberrydrum.state import client, messages, targets
 
-# Time for one replica to answer a call that needs no more than a commit. A commit takes
-# some 20 ms across availability zones; the rest is for a slow disk.
-TRY_SECONDS: Final = 0.7
-# Pause before the next replica is asked when none is known to lead.
-_SEARCH_SECONDS: Final = 0.05
+# Seconds that one replica has to answer a call that needs at most a commit. A commit
+# takes about 20 ms across availability zones; the rest allows for a slow disk.
+ATTEMPT_SECONDS: Final = 0.7
+# Seconds to wait before the next replica is called if no leader is known.
+_SEARCH_PAUSE_SECONDS: Final = 0.05
 
 
 @codec.register("state.not-leading")
 @attrs.frozen
 class NotLeading:
-    """The asked replica does not lead."""
+    """The answer of a replica that does not lead, or that lost its leader lease."""
 
     leader_address: str = ""
     addresses: tuple[str, ...] = ()
-    # It led when the call came, and the call may have had its effect.
+    # The replica led when it received the call, and the call may have taken effect.
     may_have_applied: bool = False
 
 
 class LeaderCalls:
-    """The calling side, in any process."""
+    """Calls the leader of a group."""
 
     def __init__(
         self, carrier: transport.Transport, addresses: Sequence[str] = ()
@@ -46,7 +46,7 @@
         self._targets = targets.Targets(addresses) if addresses else None
 
     def learn(self, addresses: Sequence[str]) -> None:
-        """Take over the addresses of the group's processes."""
+        """Replace the known addresses of the group's processes."""
         if not addresses:
             return
         if self._targets is None:
@@ -58,7 +58,7 @@
         self,
         message: object,
         timeout: float,
-        try_seconds: float = TRY_SECONDS,
+        attempt_seconds: float = ATTEMPT_SECONDS,
         request_id: str = "",
     ) -> result.Result[Any, client.StateError]:
         """Return the leader's answer to `message`.
@@ -66,16 +66,17 @@
         Parameters
         ----------
         message : object
-            A registered message that is safe to repeat.
+            An idempotent message, registered with the codec.
         timeout : float
-            Seconds after which the call is given up.
+            Seconds after which the call fails.
         try_seconds : float
             Seconds for one replica to answer.
         request_id : str
-            The request that waits for the answer, for the log; empty: none does.
+            Id of the request that waits for the answer, written to the log if the call
+            fails; empty: a failure is not logged.
         """
         began = clock.now()
-        answer = self._call(message, began + timeout, try_seconds)
+        answer = self._call(message, began + timeout, attempt_seconds)
         outcome = "answered" if answer.is_ok() else "not-answered"
         name = type(message).__name__
         histogram = counters.LEADER_CALL_SECONDS.labels(name, outcome)
@@ -94,14 +95,14 @@
         return answer
 
     def _call(
-        self, message: object, deadline: float, try_seconds: float
+        self, message: object, deadline: float, attempt_seconds: float
     ) -> result.Result[Any, client.StateError]:
         may_have_applied = False
         while self._targets is not None:
             remaining = deadline - clock.now()
             if remaining <= 0:
                 break
-            answer = self._try(message, min(try_seconds, remaining))
+            answer = self._attempt(message, min(attempt_seconds, remaining))
             if isinstance(answer, messages.Failed):
                 return result.Err(
                     client.StateError(
@@ -118,7 +119,7 @@
             client.StateError(reasons.Reason.STATE_UNAVAILABLE, may_have_applied)
         )
 
-    def _try(self, message: object, seconds: float) -> Any:
+    def _attempt(self, message: object, seconds: float) -> Any:
         assert self._targets is not None
         address = self._targets.current
         answer = self._carrier.call(address, message, seconds)
@@ -126,14 +127,14 @@
         if isinstance(answer, result.Err):
             if self._targets.current == address:
                 self._targets.give_up_current(now)
-            # A message that could not be queued was not sent; waiting a little keeps
-            # the loop from spinning on it.
-            clock.sleep(_SEARCH_SECONDS)
+            # If the message could not be queued, `call` has returned at once. The
+            # pause keeps the loop of attempts from spinning.
+            clock.sleep(_SEARCH_PAUSE_SECONDS)
             return None
         self._targets.heard(address)
         reply = answer.ok_value
         if isinstance(reply, NotLeading) and self._targets.current == address:
             self._targets.learn(reply.addresses)
             if not self._targets.redirected(now, reply.leader_address):
-                clock.sleep(_SEARCH_SECONDS)
+                clock.sleep(_SEARCH_PAUSE_SECONDS)
         return reply
--- a/bilberrydrum/state/stewardship.py
+++ b/bilberrydrum/state/membership_task.py
@@ -1,7 +1,7 @@
-"""The leader's task for the membership, and the group's status.
+"""Make membership changes at the leader, and report the status of the group.
 
-`steward` decides which change is due; this module gathers what it needs, has the change
-made, and answers operators.
+`membership_planner` decides which change is due. This module gathers the input for the
+decision, has the change made, and answers operators' requests for changes.
 """
 
 from collections.abc import Mapping
@@ -18,19 +18,19 @@
     events,
     leader,
     membership,
+    membership_planner,
     messages,
     node,
     queries,
-    steward,
 )
 
-# A process that asked to join and was not heard again is forgotten after this long.
-JOIN_SECONDS = 5.0
-_PROBE_TIMEOUT = 2.0
+# A request to join is dropped if it is not repeated within this many seconds.
+JOIN_REQUEST_SECONDS = 5.0
+_PROBE_TIMEOUT_SECONDS = 2.0
 
 
-class Changer(Protocol):
-    """What this module needs of the replica."""
+class LocalReplica(Protocol):
+    """What this module uses of the replica in this process."""
 
     @property
     def node(self) -> node.Node:
@@ -39,18 +39,18 @@
     def change_members(
         self, change: membership.Change, timeout: float = 5.0
     ) -> str | None:
-        """Make one change; return why it is not made, or None."""
+        """Make one change; return why it was not made, or None if it was."""
 
     def put(self, event: Any) -> None:
-        """Let the core take in an event."""
+        """Queue an event for the core."""
 
 
-class StewardTask:
-    """Membership changes, as the leader's process makes them."""
+class MembershipTask:
+    """Makes membership changes while the replica of this process leads."""
 
     def __init__(
         self,
-        replica: Changer,
+        replica: LocalReplica,
         carrier: transport.Transport,
         opts: options.Options,
     ) -> None:
@@ -58,33 +58,33 @@
         self._carrier = carrier
         self._options = opts
         self._joining_by_process: dict[str, membership.ReplicaInfo] = {}
-        self._joined_at: dict[str, float] = {}
-        self._under_way: set[tuple[str, int]] = set()
-        # Why the change that was due last is not made.
+        self._requested_at: dict[str, float] = {}
+        self._in_progress: set[tuple[str, int]] = set()
+        # Why the change that is due has not been made; empty: none is due.
         self.pending_change = ""
         # Processes whose replicas are to be replaced by others.
         self.leaving_process_ids: frozenset[str] = frozenset()
         # Availability zones of processes that may hold a replica.
         self.zones_by_process_id: Mapping[str, str] = {}
 
-    def joins(self, probe: messages.Probe, address: str) -> None:
-        """Note that an empty replica asks to join.
+    def record_join_request(self, probe: messages.Probe, address: str) -> None:
+        """Record that an empty replica requests to join.
 
-        Only a process that the settings or the membership name is let in unasked,
-        unless the settings leave the group open.
+        Unless the settings leave the group open, only processes that are named in the
+        settings or the membership may join without an operator's request.
         """
         if self._options.state.is_open:
-            self._note(probe.process_id, probe.replica_id, address)
+            self._record_joining(probe.process_id, probe.replica_id, address)
             return
         known = {each.process_id for each in self._options.state.members}
         known |= {each.process_id for each in self._replica.node.members.replicas}
         if probe.process_id in known:
-            self._note(probe.process_id, probe.replica_id, address)
+            self._record_joining(probe.process_id, probe.replica_id, address)
 
-    def _note(self, process_id: str, replica_id: str, address: str) -> None:
+    def _record_joining(self, process_id: str, replica_id: str, address: str) -> None:
         info = membership.ReplicaInfo(replica_id, process_id, address, is_voter=False)
         self._joining_by_process[process_id] = info
-        self._joined_at[process_id] = clock.now()
+        self._requested_at[process_id] = clock.now()
 
     def step(self) -> None:
         """Make the change that is due, if any."""
@@ -92,11 +92,11 @@
         role = state.role
         if not isinstance(role, node.Leader):
             return
-        self._forget_old()
-        change = steward.next_change(
+        self._expire_join_requests()
+        change = membership_planner.next_change(
             state.members,
             self._joining_by_process,
-            learned_by_id(state, role),
+            replica_progress_by_id(state, role),
             state.commit_index,
             self._policy(role),
         )
@@ -105,13 +105,14 @@
             return
         is_removal = change.kind == membership.REMOVE
         if is_removal and change.replica.replica_id == state.replica_id:
-            # Removed while it leads, the group would stand without a leader for an
-            # election timeout; handed over, it goes on at once.
+            # If the leader were removed while it leads, the group would be without a
+            # leader for an election timeout. A leadership transfer takes no such time,
+            # and the new leader then makes the removal.
             self._replica.put(events.GiveUpLeadership())
             return
-        self._make(change)
+        self._make_change(change)
 
-    def _policy(self, role: node.Leader) -> steward.Policy:
+    def _policy(self, role: node.Leader) -> membership_planner.Policy:
         opts = self._options.state
         now = clock.now()
         lost_ids = frozenset(
@@ -119,20 +120,20 @@
             for replica_id, progress in role.progress_by_id.items()
             if now - max(progress.heard_at, role.since) > opts.lost_seconds
         )
-        return steward.Policy(
+        return membership_planner.Policy(
             opts.n_voters, lost_ids, self.leaving_process_ids, self.zones_by_process_id
         )
 
-    def _forget_old(self) -> None:
-        since = clock.now() - JOIN_SECONDS
-        for process_id, joined_at in list(self._joined_at.items()):
+    def _expire_join_requests(self) -> None:
+        since = clock.now() - JOIN_REQUEST_SECONDS
+        for process_id, requested_at in list(self._requested_at.items()):
             info = self._joining_by_process[process_id]
             is_in = self._replica.node.members.find(info.replica_id) is not None
-            if is_in or joined_at < since:
-                del self._joined_at[process_id]
+            if is_in or requested_at < since:
+                del self._requested_at[process_id]
                 del self._joining_by_process[process_id]
 
-    def _make(self, change: membership.Change) -> str | None:
+    def _make_change(self, change: membership.Change) -> str | None:
         refusal = self._replica.change_members(change)
         replica_id = change.replica.replica_id
         if refusal is None:
@@ -149,13 +150,15 @@
 
     # Operators
 
-    def takes(self, address: str, client_id: str, number: int, query: object) -> bool:
-        """Begin an operator's change; False if `query` is none."""
+    def handle_operator_query(
+        self, address: str, client_id: str, number: int, query: object
+    ) -> bool:
+        """Start to make an operator's change; return False if `query` is none."""
         if not isinstance(query, commands.AddMember | commands.RemoveMember):
             return False
         key = (client_id, number)
-        if key not in self._under_way:
-            self._under_way.add(key)
+        if key not in self._in_progress:
+            self._in_progress.add(key)
             eventlet.spawn(self._answer, address, key, query)
         return True
 
@@ -169,57 +172,65 @@
             item = messages.Item(key[1], codec.encode(answer))
             self._carrier.send(address, messages.Answers(key[0], [item], True))
         finally:
-            self._under_way.discard(key)
+            self._in_progress.discard(key)
 
     def _add(self, query: commands.AddMember) -> str | None:
         own_id = self._replica.node.replica_id
         probe = messages.Probe(self._options.process_id, own_id, is_empty=False)
-        found = self._carrier.call(query.peer_address, probe, _PROBE_TIMEOUT)
+        found = self._carrier.call(query.peer_address, probe, _PROBE_TIMEOUT_SECONDS)
         if isinstance(found, result.Err):
             return f"{query.peer_address} does not answer"
         reply = found.ok_value
         if not isinstance(reply, messages.ProbeReply):
             return f"{query.peer_address} holds no replica"
         if reply.process_id != query.process_id:
-            return f"{query.peer_address} is {reply.process_id}"
+            return (
+                f"{query.peer_address} belongs to another process, {reply.process_id}"
+            )
         if self._replica.node.members.find(reply.replica_id) is not None:
             return None
         if not reply.is_empty:
-            return f"{query.process_id} holds data of another membership"
+            return f"{query.process_id} is not empty: its data is of another membership"
         info = membership.ReplicaInfo(
             reply.replica_id, reply.process_id, query.peer_address, is_voter=False
         )
-        return self._make(membership.Change(membership.ADD_LEARNER, info))
+        return self._make_change(membership.Change(membership.ADD_LEARNER, info))
 
     def _remove(self, query: commands.RemoveMember) -> str | None:
         replica = self._replica.node.members.find(query.replica_id)
         if replica is None:
-            # Asked again after a lost answer.
+            # The request was repeated after its answer was lost, or names no member.
             return None
-        return self._make(membership.Change(membership.REMOVE, replica))
+        return self._make_change(membership.Change(membership.REMOVE, replica))
 
 
-def learned_by_id(state: node.Node, role: node.Leader) -> dict[str, steward.Learned]:
-    """Return what the leader knows of the replicas, itself included."""
+def replica_progress_by_id(
+    state: node.Node, role: node.Leader
+) -> dict[str, membership_planner.ReplicaProgress]:
+    """Return what the leader knows of each replica, itself included."""
     reachable = leader.reachable_ids(state, role)
-    learned = {
-        replica_id: steward.Learned(progress.match_index, replica_id in reachable)
+    progress_by_id = {
+        replica_id: membership_planner.ReplicaProgress(
+            progress.match_index, replica_id in reachable
+        )
         for replica_id, progress in role.progress_by_id.items()
     }
-    learned[state.replica_id] = steward.Learned(state.durable_index, True)
-    return learned
+    progress_by_id[state.replica_id] = membership_planner.ReplicaProgress(
+        state.durable_index, True
+    )
+    return progress_by_id
 
 
 def status(
     decisions: core.Core, applied_index: int, pending_change: str, failure: str
 ) -> queries.Status:
-    """Return how the group stands as one replica sees it."""
+    """Return the status of the group, as seen by one replica."""
     state = decisions.node
     role = state.role
-    learned = {}
+    progress_by_id = {}
     leader_id = ""
     if isinstance(role, node.Leader):
-        learned = learned_by_id(state, role)
+        progress_by_id = replica_progress_by_id(state, role)
         leader_id = state.replica_id
     elif isinstance(role, node.Follower):
         leader_id = role.leader_id
@@ -234,16 +245,19 @@
         last_index=state.log.last_index,
         durable_index=state.durable_index,
         snapshot_index=state.snapshot_index,
-        members=[_member(each, learned) for each in state.members.replicas],
+        members=[_member(each, progress_by_id) for each in state.members.replicas],
         pending_change=pending_change,
         failure=failure,
     )
 
 
 def _member(
-    replica: membership.ReplicaInfo, learned: dict[str, steward.Learned]
+    replica: membership.ReplicaInfo,
+    progress_by_id: dict[str, membership_planner.ReplicaProgress],
 ) -> queries.ReplicaStatus:
-    known = learned.get(replica.replica_id, steward.Learned(0, False))
+    known = progress_by_id.get(
+        replica.replica_id, membership_planner.ReplicaProgress(0, False)
+    )
     return queries.ReplicaStatus(
         replica_id=replica.replica_id,
         process_id=replica.process_id,
--- a/bilberrydrum/state/processes.py
+++ b/bilberrydrum/state/processes.py
@@ -1,8 +1,8 @@
 """Processes registered with the state group, and their incarnations.
 
 A process registers at each start and gets an incarnation higher than any given before,
-so that late messages of its earlier life are recognised. Hosts without a disk can't
-keep such a number themselves.
+so that late messages of its earlier incarnations are recognised. A host without a disk
+cannot store such a number itself.
 """
 
 import secrets
@@ -16,8 +16,8 @@
 
 SECTION: Final = "processes"
 _RETRY_SECONDS: Final = 0.2
-# Stands for the lives that a restored copy doesn't know.
-UNKNOWN_LIVES: Final = "(unknown)"
+# Process id of the incarnations that are missing from a restored backup.
+UNKNOWN_INCARNATIONS: Final = "(unknown)"
 
 
 @codec.register("processes.process")
@@ -42,10 +42,10 @@
     """All registered processes."""
 
     last_incarnation: int = 0
-    # Rises with each change of the processes.
+    # Increases with each change of the registered processes.
     change: int = 0
     processes_by_id: dict[str, Process] = attrs.field(factory=dict)
-    # Earlier lives, by incarnation, that may not have ended: process ids.
+    # Process ids of earlier incarnations that may still be running, by incarnation.
     former_by_incarnation: dict[int, str] = attrs.field(factory=dict)
 
 
@@ -65,7 +65,7 @@
 @codec.register("processes.forget")
 @attrs.frozen
 class ForgetProcesses:
-    """Drop lives of processes that have ended; answered by `Forgotten`."""
+    """Remove incarnations that have ended; answered by `Forgotten`."""
 
     incarnations: tuple[int, ...]
 
@@ -81,7 +81,7 @@
 @codec.register("processes.forgotten")
 @attrs.frozen
 class Forgotten:
-    """How many lives were dropped."""
+    """The number of incarnations that were removed."""
 
     n_forgotten: int
 
@@ -102,23 +102,24 @@
 
 
 def next_number(last: int, context: machine.Context) -> int:
-    """Return a number above `last` and above those that a lost group can have given.
+    """Return a number above `last` and above those that a lost group may have given.
 
-    After the loss of a majority, a new group starts from nothing or from an old copy.
-    Others remember the numbers of the lost group and ignore lower ones. So a number
-    starts at the wall clock's seconds; within a group it rises whatever the clock does.
+    After the loss of a majority, a new group starts empty or from an old backup. Other
+    processes remember the numbers of the lost group and ignore lower ones. Therefore a
+    number is at least the wall clock time in seconds. Within a group it rises even if
+    the clock is set back.
     """
     return max(last + 1, int(context.time))
 
 
 def section_of(state: machine.State) -> Section:
-    """Return the section of `state`, for commands to change."""
+    """Return the section of `state`; commands may change it."""
     section: Section = state.section(SECTION, Section)
     return section
 
 
 def read(state: machine.State) -> Section:
-    """Return the section of `state`, for readers, who must not change the state."""
+    """Return the section of `state` for reading; callers must not change it."""
     section: Section = state.sections.get(SECTION) or Section()
     return section
 
@@ -130,8 +131,8 @@
     section = section_of(state)
     known = section.processes_by_id.get(command.process_id)
     if known is not None and known.start_token == command.start_token:
-        # Sent again after the answer was lost. A second number would make the process
-        # drop out under the first.
+        # The command was sent again, because the answer was lost. If it got a second
+        # number, other processes would drop what this one sends under the first.
         return Registered(known.incarnation)
     if known is not None:
         section.former_by_incarnation[known.incarnation] = known.process_id
@@ -168,7 +169,7 @@
 
 @machine.keep_rising.register
 def _(section: Section, current: Section | None) -> None:
-    """Keep the processes of today when an older copy of the state is restored."""
+    """Keep the current processes when an older backup is restored."""
     if current is not None:
         section.last_incarnation = max(
             section.last_incarnation, current.last_incarnation
@@ -176,11 +177,11 @@
         section.change = max(section.change, current.change)
         section.processes_by_id = dict(current.processes_by_id)
         section.former_by_incarnation = dict(current.former_by_incarnation)
-    # Gateways that neither group knows may run, and hold leases. They register again;
-    # their old lives stand as one.
+    # Gateways that are in neither state may be running and hold leases. They register
+    # again; one entry represents all their earlier incarnations.
     section.change += 1
     section.last_incarnation += 1
-    section.former_by_incarnation[section.last_incarnation] = UNKNOWN_LIVES
+    section.former_by_incarnation[section.last_incarnation] = UNKNOWN_INCARNATIONS
 
 
 @machine.answer.register
@@ -190,12 +191,12 @@
 
 
 def register(options_: options.Options, state: client.StateClient) -> int:
-    """Register this process; wait for the state group until it answers.
+    """Register this process, and retry until the state group answers.
 
     Returns
     -------
     int
-        The incarnation, higher than that of any earlier start of any process.
+        The incarnation, higher than that of all earlier starts of all processes.
     """
     command = RegisterProcess(
         options_.process_id,
--- a/bilberrydrum/state/queries.py
+++ b/bilberrydrum/state/queries.py
@@ -8,13 +8,13 @@
 @codec.register("state.get-status")
 @attrs.frozen
 class GetStatus:
-    """Ask how the group stands."""
+    """Ask for the status of the group."""
 
 
 @codec.register("state.replica-status")
 @attrs.frozen
 class ReplicaStatus:
-    """One replica as its leader sees it."""
+    """The status of one replica, as seen by the leader."""
 
     replica_id: str
     process_id: str
@@ -28,7 +28,7 @@
 @codec.register("state.status")
 @attrs.frozen
 class Status:
-    """How the group stands, as seen by one replica."""
+    """The status of the group, as seen by one replica."""
 
     replica_id: str
     # "leader", "candidate" or "follower".
@@ -41,9 +41,9 @@
     durable_index: int
     snapshot_index: int
     members: list[ReplicaStatus]
-    # Why the last membership change that was due is not made; empty: none is due.
+    # Why the membership change that is due has not been made; empty: none is due.
     pending_change: str = ""
-    # Why this replica has stopped; empty: it runs.
+    # Why this replica has stopped; empty: it is running.
     failure: str = ""
 
 
--- a/bilberrydrum/state/remote.py
+++ b/bilberrydrum/state/remote.py
@@ -1,9 +1,10 @@
 """The gateways' client of the state group.
 
-It numbers commands within a session, sends them to the leader, and sends them again,
-under the same numbers, until an answer comes or the caller's time is up. The leader is
-found by redirects, starting from the members in the settings and going on with those
-the replicas name, so that a client outlives the members that it started with.
+The client numbers commands within a session, sends them to the leader, and retries
+under the same numbers until an answer arrives or the caller's timeout expires. It finds
+the leader by following redirects, first from the members in the settings and then from
+those that the replicas name. It therefore still works when all members that it started
+with have been replaced.
 """
 
 import itertools
@@ -18,15 +19,17 @@
 from bilberrydrum import clock, codec, options, reasons, transport
 from bilberrydrum.state import client, messages, targets
 
-# Commands or queries under way; more wait here.
+# Commands (or queries) whose number is at least this far above that of the oldest one
+# without an answer are not sent yet.
 WINDOW: Final = 512
-# Most commands in one message.
-_BATCH: Final = 128
-# Sent again after this long without an answer, doubling each time up to the second.
+# Most commands or queries in one message.
+_MAX_BATCH: Final = 128
+# Seconds without an answer after which a command or query is sent again. The delay
+# doubles with each attempt, up to `_MAX_RESEND_SECONDS`.
 _RESEND_SECONDS: Final = 0.25
 _MAX_RESEND_SECONDS: Final = 2.0
-# Pause before another replica is asked when none is known to lead.
-_SEARCH_SECONDS: Final = 0.05
+# Seconds to wait before the next replica is tried if no leader is known.
+_SEARCH_PAUSE_SECONDS: Final = 0.05
 _TICK_SECONDS: Final = 0.05
 
 
@@ -37,11 +40,11 @@
     number: int
     data: bytes
     done: eventlet.event.Event = attrs.field(factory=eventlet.event.Event)
-    # When to send it, first or again.
+    # Time at which it is to be sent, for the first time or again.
     due_at: float = float("-inf")
-    # Sendings without an answer, for the pause before the next.
-    n_tries: int = 0
-    # Sendings that may have been taken into the log.
+    # Number of attempts without an answer, which determines the delay before the next.
+    n_attempts: int = 0
+    # Number of times that it was sent and not refused: each may reach the log.
     n_sent: int = 0
     # The session that it was sent in; 0: none yet.
     session_id: int = 0
@@ -55,14 +58,14 @@
         self._client_id = uuid.uuid4().hex
         members = [each.peer_address for each in opts.state.members]
         self._targets = targets.Targets(members or [opts.peer_address])
-        self._search_at = float("-inf")
+        self._next_search_at = float("-inf")
         self._session_id = 0
-        self._session_asked_at = float("-inf")
+        self._session_requested_at = float("-inf")
         self._last_number = 0
         self._commands: dict[int, _Pending] = {}
         self._queries: dict[int, _Pending] = {}
         self._wake = eventlet.event.Event()
-        self._heard_at = float("-inf")
+        self._last_reply_at = float("-inf")
         self._task: Any = None
 
     def start(self) -> None:
@@ -74,7 +77,7 @@
         self._task = eventlet.spawn(self._run)
 
     def stop(self) -> None:
-        """Stop sending; what is under way ends without an answer."""
+        """Stop sending; pending commands and queries fail."""
         if self._task is not None:
             self._task.kill()
             self._task = None
@@ -115,7 +118,7 @@
         try:
             answer = codec.decode(data)
         except codec.DecodeError as error:
-            # An answer of a newer release: the command has been applied.
+            # The answer is of a newer release. The command has been applied.
             return result.Err(
                 client.StateError(reasons.Reason.INTERNAL_ERROR, True, str(error))
             )
@@ -135,13 +138,14 @@
         while True:
             with eventlet.Timeout(_TICK_SECONDS, False):
                 self._wake.wait()
-            # What other tasks submit in this turn of the hub goes out together.
+            # Lets the other tasks that are ready run first, so that what they submit is
+            # sent in the same message.
             eventlet.sleep(0)
             self._wake = eventlet.event.Event()
             self._send_due(clock.now())
 
     def _send_due(self, now: float) -> None:
-        if now < self._search_at:
+        if now < self._next_search_at:
             return
         due_queries = self._due(self._queries, now)
         if due_queries:
@@ -159,8 +163,8 @@
     ) -> list[_Pending]:
         if not pending_by_number:
             return []
-        # Numbers only grow in the map; those beyond the window wait, so that the
-        # session need not keep more answers.
+        # The map is ordered by number. Numbers beyond the window wait, so that the
+        # session never has to keep more answers than its limit.
         end = next(iter(pending_by_number)) + WINDOW
         due = []
         for number, pending in pending_by_number.items():
@@ -171,18 +175,22 @@
         return due
 
     def _send_batches(self, due: list[_Pending], now: float, is_query: bool) -> None:
-        if any(each.n_tries for each in due) and now - self._heard_at > _RESEND_SECONDS:
-            # Sent before and nothing heard since: the replica may be gone.
+        if (
+            any(each.n_attempts for each in due)
+            and now - self._last_reply_at > _RESEND_SECONDS
+        ):
+            # Something was sent before and no reply has arrived since, so the replica
+            # may be down.
             self._targets.give_up_current(now)
         for pending in due:
-            # Sent again, a command stays in its session: only that one knows whether
-            # it was applied.
+            # A command that is sent again stays in its session, because only that
+            # session records whether it was applied.
             pending.session_id = pending.session_id or self._session_id
         due.sort(key=lambda each: each.session_id)
         for session_id, group in itertools.groupby(due, lambda each: each.session_id):
             batch = list(group)
-            for start in range(0, len(batch), _BATCH):
-                part = batch[start : start + _BATCH]
+            for start in range(0, len(batch), _MAX_BATCH):
+                part = batch[start : start + _MAX_BATCH]
                 self._send_batch(part, session_id, now, is_query)
 
     def _send_batch(
@@ -195,26 +203,26 @@
             message = messages.Submit(self._client_id, session_id, lowest, items)
         is_sent = self._carrier.send(self._targets.current, message)
         for pending in batch:
-            wait = min(_RESEND_SECONDS * 2**pending.n_tries, _MAX_RESEND_SECONDS)
+            wait = min(_RESEND_SECONDS * 2**pending.n_attempts, _MAX_RESEND_SECONDS)
             pending.due_at = now + wait
-            pending.n_tries += 1
+            pending.n_attempts += 1
             pending.n_sent += is_sent
 
     def _open_session(self, now: float) -> None:
-        if now - self._session_asked_at < _RESEND_SECONDS:
+        if now - self._session_requested_at < _RESEND_SECONDS:
             return
-        if self._session_asked_at > self._heard_at:
+        if self._session_requested_at > self._last_reply_at:
             self._targets.give_up_current(now)
-        self._session_asked_at = now
+        self._session_requested_at = now
         self._carrier.send(self._targets.current, messages.OpenSession(self._client_id))
 
     # Receiving
 
     def _on_answers(self, sender: transport.Sender, answers: messages.Answers) -> None:
         if answers.client_id != self._client_id:
-            # For this process's earlier life, or another client in it.
+            # Meant for an earlier incarnation of this process, or another client in it.
             return
-        self._heard(sender)
+        self._record_reply(sender)
         pending_by_number = self._queries if answers.is_query else self._commands
         for item in answers.items:
             pending = pending_by_number.pop(item.number, None)
@@ -226,32 +234,32 @@
     ) -> None:
         if redirect.client_id != self._client_id:
             return
-        now = self._heard(sender)
+        now = self._record_reply(sender)
         if sender.address == self._targets.current:
             self._targets.learn(redirect.addresses)
             if not self._targets.redirected(now, redirect.leader_address):
-                self._search_at = now + _SEARCH_SECONDS
-        self._session_asked_at = float("-inf")
+                self._next_search_at = now + _SEARCH_PAUSE_SECONDS
+        self._session_requested_at = float("-inf")
         pending_by_number = self._queries if redirect.is_query else self._commands
         for number in redirect.numbers:
             pending = pending_by_number.get(number)
             if pending is not None:
-                # That sending was not taken, and will not be.
+                # The replica has refused this copy, so it will never reach the log.
                 pending.n_sent -= 1
-                pending.n_tries = 0
+                pending.n_attempts = 0
                 pending.due_at = now
         self._wake_up()
 
-    def _heard(self, sender: transport.Sender) -> float:
-        self._heard_at = clock.now()
+    def _record_reply(self, sender: transport.Sender) -> float:
+        self._last_reply_at = clock.now()
         self._targets.heard(sender.address)
-        return self._heard_at
+        return self._last_reply_at
 
     def _on_session_opened(
         self, sender: transport.Sender, opened: messages.SessionOpened
     ) -> None:
         if opened.client_id == self._client_id and not self._session_id:
-            self._heard(sender)
+            self._record_reply(sender)
             self._session_id = opened.session_id
             self._wake_up()
 
@@ -260,7 +268,7 @@
     ) -> None:
         if lost.client_id != self._client_id:
             return
-        now = self._heard(sender)
+        now = self._record_reply(sender)
         if lost.session_id == self._session_id:
             self._session_id = 0
         for number in lost.numbers:
@@ -268,8 +276,8 @@
             if pending is None or pending.session_id != lost.session_id:
                 continue
             if pending.n_sent > 1:
-                # An earlier sending may have been applied in the lost session; a new
-                # session would not know of it.
+                # An earlier copy may have been applied in the lost session. A new
+                # session has no record of it and would apply the command again.
                 del self._commands[number]
                 pending.done.send(None)
             else:
--- a/bilberrydrum/state/replica.py
+++ b/bilberrydrum/state/replica.py
@@ -30,20 +30,20 @@
     applier,
     applying,
     client,
+    client_requests,
     core,
     disk,
     events,
     files,
-    intake,
     joining,
     log,
     machine,
     membership,
+    membership_task,
     messages,
     node,
     queries,
     serving,
-    stewardship,
     storage,
 )
 
@@ -107,11 +107,15 @@
         if data:
             self._applier.restore(data)
         self._core = core.Core(self._settings, recovered, random.Random(), clock.now())
-        self._steward = stewardship.StewardTask(self, self._carrier, self._options)
+        self._steward = membership_task.MembershipTask(
+            self, self._carrier, self._options
+        )
         self._joining = joining.Joining(
             self, self._options, self._carrier, self._steward
         )
-        self._intake = intake.Intake(self, self._carrier, self._applier, self._steward)
+        self._intake = client_requests.ClientRequests(
+            self, self._carrier, self._applier, self._steward
+        )
         self._apply = applying.ApplyTask(
             self,
             self._applier,
@@ -215,7 +219,7 @@
         began = clock.now()
         done = eventlet.event.Event()
         waiter = serving.Waiter(0, command, done=done.send)
-        self._intake.take([(log.KIND_LOCAL, codec.encode(command))], [waiter])
+        self._intake.propose([(log.KIND_LOCAL, codec.encode(command))], [waiter])
         with eventlet.Timeout(timeout, False):
             applied = done.wait()
             if applied is None:
@@ -255,7 +259,7 @@
 
     def status(self) -> queries.Status:
         """Return how the group stands as this replica sees it."""
-        return stewardship.status(
+        return membership_task.status(
             self._core,
             self._applier.index,
             self._steward.pending_change,
@@ -272,7 +276,7 @@
         """Why the replica has stopped; empty: it runs."""
         return self._failure
 
-    def save(self, request: serving.Save) -> None:
+    def save(self, request: serving.SnapshotQuery) -> None:
         """Have the state encoded, and the query for it answered."""
         self._apply.put(request)
 
@@ -327,7 +331,7 @@
             message_type="state:role", term=effect.term, is_leader=effect.is_leader
         )
         if not effect.is_leader:
-            self._intake.send_reads_on()
+            self._intake.redirect_reads()
         for callback in self._role_watchers:
             callback()
 
@@ -337,7 +341,7 @@
         if change is not None:
             self._on_change_placed(effect, change)
         else:
-            self._intake.placed(effect)
+            self._intake.handle_proposal_result(effect)
 
     def _on_change_placed(self, effect: Any, change: eventlet.event.Event) -> None:
         if isinstance(effect, events.Accepted):
@@ -431,10 +435,10 @@
         return LeaderHint(address, members)
 
 
-def _change_end(asked: eventlet.event.Event) -> Callable[[serving.End], None]:
+def _change_end(asked: eventlet.event.Event) -> Callable[[serving.EntryOutcome], None]:
     """Return what tells who asked for a change of its entry's end."""
 
-    def end(given: serving.End) -> None:
+    def end(given: serving.EntryOutcome) -> None:
         is_applied = isinstance(given, applier.Applied)
         asked.send(None if is_applied else "another leader took over")
 
--- a/bilberrydrum/state/serving.py
+++ b/bilberrydrum/state/serving.py
@@ -1,10 +1,10 @@
-"""The clients' side of a replica: who waits for which entry, and reads.
+"""What a replica has to answer: the waiters for its log entries, and reads.
 
-A command's answer goes out when its entry is applied, if the entry at that index is
-still the one that was taken. A read is answered when the state holds every entry that
-was committed when it came in, and while this replica holds the leader lease; the lease
-is checked after the answer is made, so that a process that was stopped in between does
-not answer from the past.
+A command is answered when its entry is applied, if the entry at that index is still the
+one that was proposed for the command. A read is answered when the state contains every
+entry that was committed when the read arrived, and only while this replica holds the
+leader lease. The lease is checked again after the answer is computed, so that a process
+that was suspended in between does not send an outdated answer.
 """
 
 import collections
@@ -18,50 +18,52 @@
 from bilberrydrum import codec
 from bilberrydrum.state import applier, machine, messages
 
-# A read waits this long for the lease before its client is sent on.
+# Seconds that a read waits to be answered before its client is redirected.
 READ_WAIT_SECONDS = 1.0
 
 
 @attrs.frozen
 class Skipped:
-    """A received snapshot has taken an entry's place, and may hold what it did."""
+    """The entry was replaced by a received snapshot, which may contain its effect."""
 
 
-# What becomes of an entry that this replica took; None: it is not in the log.
-End = applier.Applied | Skipped | None
+# The outcome of an entry that this replica was to propose. None: it is not in the log,
+# because it was refused or a later leader has overwritten it.
+EntryOutcome = applier.Applied | Skipped | None
 
 
 @attrs.define
 class Waiter:
-    """Who waits for an entry."""
+    """A client, or a task of this process, that waits for an entry to be applied."""
 
     term: int
-    # Decoded when it came in, so that it is not decoded again.
+    # The command, decoded when it arrived, so that it is not decoded again.
     command: object | None = None
-    # A client's command.
+    # The client that waits. The number is that of its command; 0: it opens a session.
     address: str = ""
     client_id: str = ""
     number: int = 0
     session_id: int = 0
-    # Called with the end of a command of this process.
-    done: Callable[[End], None] | None = None
+    # Called with the outcome if a task of this process waits.
+    done: Callable[[EntryOutcome], None] | None = None
 
 
 @attrs.define
 class Read:
-    """A query that waits."""
+    """A query that waits for its answer."""
 
     address: str
     client_id: str
     number: int
     query: object
     since: float
-    # What the state must hold; None until the leader is established.
+    # The read is answered once the entry at this index is applied. None until this
+    # replica is first seen to hold the leader lease.
     needed_index: int | None = None
 
 
 @attrs.frozen
-class Save:
+class SnapshotQuery:
     """A query for a snapshot of the state."""
 
     address: str
@@ -69,14 +71,14 @@
     number: int
 
 
-Answerer = Callable[[object], Any]
-Sender = Callable[[str, object], Any]
+AnswerQuery = Callable[[object], Any]
+SendMessage = Callable[[str, object], Any]
 
 
 class Outbox:
-    """Answers collected by client, sent in one message for many."""
+    """Collects answers, to send those for one client in one message."""
 
-    def __init__(self, send: Sender) -> None:
+    def __init__(self, send: SendMessage) -> None:
         self._send = send
         self._items: dict[tuple[str, str, bool], list[messages.Item]] = {}
 
@@ -87,16 +89,16 @@
         self._items.setdefault((address, client_id, is_query), []).append(item)
 
     def flush(self) -> None:
-        """Send what was added."""
+        """Send the collected answers."""
         items, self._items = self._items, {}
         for (address, client_id, is_query), each in items.items():
             self._send(address, messages.Answers(client_id, each, is_query))
 
 
 class Waiters:
-    """Who waits for the entries that this replica took as the leader."""
+    """The waiters for entries that this replica proposed as the leader."""
 
-    def __init__(self, send: Sender) -> None:
+    def __init__(self, send: SendMessage) -> None:
         self._by_index: dict[int, Waiter] = {}
         self._send = send
         self.outbox = Outbox(send)
@@ -105,25 +107,26 @@
         return len(self._by_index)
 
     def add(self, index: int, waiter: Waiter) -> None:
-        """Let `waiter` wait for the entry at `index`."""
+        """Let `waiter` wait for the entry at `index`, instead of an earlier waiter."""
         replaced = self._by_index.get(index)
         if replaced is not None:
-            self._end(replaced, None)
+            self._notify(replaced, None)
         self._by_index[index] = waiter
 
     def command(self, index: int, term: int) -> object | None:
-        """Return the decoded command of an entry taken here."""
+        """Return the decoded command of an entry proposed here, or None."""
         waiter = self._by_index.get(index)
         return waiter.command if waiter and waiter.term == term else None
 
-    def applied(self, applied: applier.Applied) -> None:
-        """Answer who waits for an entry."""
+    def complete(self, applied: applier.Applied) -> None:
+        """Answer the waiter for an applied entry, if there is one."""
         waiter = self._by_index.pop(applied.index, None)
         if waiter is None:
             return
         if waiter.term != applied.term:
-            # Another leader's entry took the place: ours is not in the log.
-            self._end(waiter, None)
+            # The entry that was proposed here is not in the log: a later leader has
+            # overwritten it with an entry of another term.
+            self._notify(waiter, None)
         elif waiter.done is not None:
             waiter.done(applied)
         elif waiter.number == 0:
@@ -139,22 +142,23 @@
             self._send(waiter.address, lost)
 
     def clear(self, up_to_index: int) -> None:
-        """Forget who waits for entries that a snapshot has skipped."""
+        """Remove the waiters for entries that a received snapshot has replaced."""
         for index in [each for each in self._by_index if each <= up_to_index]:
-            # Another leader may have committed the very entry that was taken here:
-            # called not in the log, a batch would be refused for good, and run.
-            self._end(self._by_index.pop(index), Skipped())
+            # Another leader may have committed the same entry that was proposed here.
+            # If it were reported as not in the log, a batch would be refused with the
+            # guarantee that it never runs, although it was accepted and will run.
+            self._notify(self._by_index.pop(index), Skipped())
 
-    def _end(self, waiter: Waiter, end: End) -> None:
-        # A client sends again by itself; a task of this process must be told.
+    def _notify(self, waiter: Waiter, outcome: EntryOutcome) -> None:
+        # A client retries by itself; a task of this process waits for the outcome.
         if waiter.done is not None:
-            waiter.done(end)
+            waiter.done(outcome)
 
 
 class Reads:
     """Queries that wait for the lease or for entries to be applied."""
 
-    def __init__(self, outbox: Outbox, answer: Answerer) -> None:
+    def __init__(self, outbox: Outbox, answer: AnswerQuery) -> None:
         self._waiting: collections.deque[Read] = collections.deque()
         self._outbox = outbox
         self._answer = answer
@@ -194,14 +198,14 @@
             eliot.write_traceback()
             return codec.encode(messages.Failed(f"{type(error).__name__}: {error}"))
 
-    def take_expired(self, now: float) -> list[Read]:
+    def pop_expired(self, now: float) -> list[Read]:
         """Remove and return the reads that have waited too long."""
         expired = []
         while self._waiting and now - self._waiting[0].since > READ_WAIT_SECONDS:
             expired.append(self._waiting.popleft())
         return expired
 
-    def take_all(self) -> list[Read]:
+    def pop_all(self) -> list[Read]:
         """Remove and return all reads."""
         taken = list(self._waiting)
         self._waiting.clear()
@@ -214,9 +218,9 @@
 
 
 def answer_query(query: object, state: machine.State, applied_time: float) -> Any:
-    """Answer from the state at the leader's wall clock.
+    """Answer a query from the state, at the time of the leader's wall clock.
 
-    The time is never below that of the last applied entry, so that a query does not
-    see as valid what a command before it has found to be expired.
+    The time is never earlier than that of the last applied entry. Otherwise a query
+    could treat something as valid that an earlier command has found to be expired.
     """
     return machine.answer(query, state, max(wall_time(), applied_time))
--- a/bilberrydrum/state/sessions.py
+++ b/bilberrydrum/state/sessions.py
@@ -1,11 +1,12 @@
-"""Client sessions: a command sent twice has one effect and one answer.
+"""Client sessions, by which a command that is sent twice has one effect and one answer.
 
 A client numbers its commands. The session keeps the answer to each number until the
-client says that it needs it no more, and a number that was answered is not applied
-again. Sessions are part of the replicated state, so every replica decides alike.
+client acknowledges it, and a number that was answered is not applied again. Sessions
+are part of the replicated state, so all replicas decide alike.
 
-A session ends when it was idle for long or when too many newer ones exist. A command
-in an ended session is not applied: whether it was before is not known any more.
+A session expires when it has been idle for `IDLE_SECONDS`, or when it is the least
+recently used of more than `MAX_SESSIONS`. A command in an expired session is not
+applied, because it is not known whether it was applied before.
 """
 
 from typing import Any, Final
@@ -19,18 +20,19 @@
 SECTION: Final = "state.sessions"
 MAX_SESSIONS: Final = 4096
 IDLE_SECONDS: Final = 3600.0
-# Answers kept for one session; clients have fewer commands under way.
+# Most answers kept for one session. Clients have fewer commands in flight: see
+# `remote.WINDOW`.
 MAX_ANSWERS: Final = 1024
 
 
 @codec.register("state.session")
 @attrs.define
 class Session:
-    """One client's commands."""
+    """The session of one client."""
 
     client_id: str
     used_at: float
-    # Numbers below are not applied any more.
+    # Commands with lower numbers are not applied, because their answers were dropped.
     floor: int = 0
     answers_by_number: dict[int, bytes] = attrs.field(factory=dict)
 
@@ -45,7 +47,7 @@
 
 @attrs.frozen
 class SessionCommand:
-    """A command as it stands in the log."""
+    """A command of a client, as stored in the log."""
 
     client_id: str
     session_id: int
@@ -81,7 +83,7 @@
 def open_session(
     sessions: Sessions, session_id: int, client_id: str, time: float
 ) -> None:
-    """Add a session, and end those that were idle or are too many."""
+    """Add a session, and remove those that were idle or exceed the limit."""
     sessions.by_id[session_id] = Session(client_id, time)
     while True:
         oldest_id = next(iter(sessions.by_id))
@@ -92,9 +94,9 @@
 
 
 def find(sessions: Sessions, command: SessionCommand, time: float) -> Session | None:
-    """Return the command's session, now the most recently used, if it stands."""
+    """Return the command's session, marked as just used; None: it has expired."""
     session = sessions.by_id.get(command.session_id)
-    # Restored from a back-up, a group may give a session's id a second time.
+    # After a backup was restored, the group may give the id of a session again.
     if session is None or session.client_id != command.client_id:
         return None
     del sessions.by_id[command.session_id]
@@ -104,7 +106,7 @@
 
 
 def forget_answers(session: Session, lowest_pending: int) -> None:
-    """Drop the answers that the client needs no more."""
+    """Drop the answers to numbers below `lowest_pending`."""
     if lowest_pending > session.floor:
         session.floor = lowest_pending
         answers = session.answers_by_number
@@ -113,7 +115,7 @@
 
 
 def keep_answer(session: Session, number: int, answer: bytes) -> None:
-    """Keep the answer to a command that was applied now."""
+    """Keep the answer to a command that was just applied."""
     session.answers_by_number[number] = answer
     if len(session.answers_by_number) > MAX_ANSWERS:
         forget_answers(session, min(session.answers_by_number) + 1)
--- a/bilberrydrum/transport.py
+++ b/bilberrydrum/transport.py
@@ -1,10 +1,11 @@
 """Messages between the system's processes, over ZeroMQ.
 
-A process binds one ROUTER socket, on which it hears all others, and opens one DEALER
-to each process it speaks to. A message travels one way; an answer is a message of its
-own to the sender's address, tied to the question by a call id. Every message is in an
-envelope that names the protocol version, the state group, the sender and the sender's
-incarnation. What cannot be understood is counted and dropped, never fatal.
+A process binds one ROUTER socket, on which it receives from all others, and opens one
+DEALER socket to each process that it sends to. Messages are one-way. An answer is a
+separate message to the sender's address, matched to the call by its call id. Every
+message is in an envelope that names the protocol version, the state group, the sender
+and the sender's incarnation. A message that cannot be understood is counted and
+dropped; it never stops the process.
 """
 
 import itertools
@@ -24,25 +25,26 @@
 from bilberrydrum import codec, counters, reasons
 
 PROTOCOL_VERSION: Final = 1
-# Messages waiting for one peer; beyond it new ones are dropped and counted.
+# Most messages in the queue to one peer. Further ones are dropped and counted.
 SEND_HIGH_WATER_MARK: Final = 2_000
-# A connection is asked for a sign of life this often, in milliseconds, and given up
-# after the timeout without one: within 2 s in all, so that a connection that went
-# silent is replaced before the processes behind it count as lost (3 s).
+# Interval of the ZeroMQ heartbeats, and time without a reply after which a connection
+# is closed, in milliseconds. Thus a connection that went silent is replaced within 2 s,
+# before the process at its other end counts as lost (after 3 s).
 HEARTBEAT_MS: Final = 500
 HEARTBEAT_TIMEOUT_MS: Final = 1500
-# A connection request is given up after this long, in milliseconds, and made again:
-# a few times the longest way between two regions. A host without power answers none.
-# After a loss of power everywhere the first replica that was back waited a second, the
-# kernel's first repetition, for those that came 0.4 s later, and so did its group.
+# An attempt to connect is given up and repeated after this many milliseconds, a few
+# times the longest latency between two regions. A host without power does not answer,
+# and the kernel repeats its request only after a second. After a power loss of all
+# hosts, the first replica to return would wait this second for those that return 0.4 s
+# after it, and the group with it.
 CONNECT_TIMEOUT_MS: Final = 300
-# A connection that was taken but not answered on is given up after this long, in
-# milliseconds; by itself ZeroMQ waits for 30 s.
+# A connection that was accepted, but on which the handshake gets no answer, is given up
+# after this many milliseconds. ZeroMQ's default is 30 s.
 HANDSHAKE_TIMEOUT_MS: Final = 1000
-# A peer that is not there is tried again at least this often, in milliseconds: it is
-# what all processes wait for after they were started together.
+# Longest interval between attempts to connect to an absent peer, in milliseconds. After
+# all processes were started together, they wait this long for each other.
 RECONNECT_MAX_MS: Final = 200
-# Messages received before the other tasks get a turn.
+# Number of messages received before other tasks get to run.
 RECEIVE_BATCH: Final = 16
 
 
@@ -53,7 +55,7 @@
 
 @attrs.frozen
 class Sender:
-    """Who sent a message, and the call that an answer belongs to."""
+    """The sender of a message, and the call that it waits to have answered."""
 
     process_id: str
     # Address of the sender's ROUTER, ``IP:port``.
@@ -65,11 +67,11 @@
 
 @attrs.frozen
 class Envelope:
-    """What surrounds each message on the wire.
+    """The envelope of each message on the wire.
 
-    It is a list of the values in this order: the names of the fields would be more
-    than half of a short message. The version comes first, and a later one may only add
-    to the end.
+    It is encoded as a list of the values in this order, because the names of the fields
+    would be more than half of a short message. The version comes first, and later
+    versions may only append fields.
     """
 
     version: int = attrs.field(validator=_IS_INT)
@@ -96,7 +98,7 @@
     Raises
     ------
     codec.DecodeError
-        If `data` is no envelope.
+        If `data` is not an envelope.
     """
     try:
         fields = msgpack.unpackb(data)
@@ -141,15 +143,15 @@
         keys: CurveKeys | None = None,
         bind_host: str = "",
     ) -> None:
-        """Make the transport; nothing is bound before `start`.
+        """Create the transport; no socket is bound before `start`.
 
         Parameters
         ----------
         address : str
             Where others reach this process, ``IP:port``.
         bind_host : str
-            The IP to bind where it is not that of `address`, as behind an address
-            translation; empty: the same.
+            The IP to bind if it differs from that of `address`, for example behind
+            NAT; empty: the same.
         """
         self.process_id = process_id
         self.group = group
@@ -162,8 +164,9 @@
         self._dealers_by_address: dict[str, Any] = {}
         self._incarnations_by_sender: dict[str, int] = {}
         self._calls: dict[int, eventlet.event.Event] = {}
-        # A late answer to a call of this process's earlier life must not be taken for
-        # the answer to a new one, so the numbers of two lives do not meet.
+        # Call ids start at a random number, so that those of two incarnations of this
+        # process differ. Otherwise, a late answer to a call of an earlier incarnation
+        # could be taken for the answer to a new call.
         self._call_ids = itertools.count(random.SystemRandom().getrandbits(48) + 1)
         self._router: Any = None
         self._tasks: list[Any] = []
@@ -188,7 +191,7 @@
         self._tasks.append(eventlet.spawn(self._receive))
 
     def stop(self) -> None:
-        """Close all sockets; waiting calls end with an error."""
+        """Close all sockets; pending calls return an error."""
         for task in self._tasks:
             task.kill()
         self._tasks.clear()
@@ -210,7 +213,8 @@
         Returns
         -------
         bool
-            False if the message was dropped because the peer takes no more.
+            False if the message was dropped, because the queue to the peer is full or
+            the public key of the peer is not known.
         """
         envelope = Envelope(
             PROTOCOL_VERSION,
@@ -223,13 +227,13 @@
             answers,
         )
         if self._keys is not None and address not in self._keys.peers_by_address:
-            # Without the peer's public key there is no way to know who answers.
+            # Without its public key, the peer cannot be authenticated.
             counters.dropped(reasons.Reason.PEER_UNREACHABLE)
             return False
         try:
-            # A DEALER whose peer is gone blocks in send and would hang the calling
-            # task. Without blocking, the message is lost instead, which every
-            # protocol here must bear anyway.
+            # If the peer is gone, a blocking send on its DEALER would hang the calling
+            # task. With NOBLOCK the message is lost instead, which every protocol here
+            # must tolerate anyway.
             self._dealer(address).send(pack(envelope), zmq.NOBLOCK)
         except zmq.ZMQError:
             counters.dropped(reasons.Reason.PEER_UNREACHABLE)
@@ -237,7 +241,7 @@
         return True
 
     def answer(self, sender: Sender, message: object) -> bool:
-        """Send `message` as the answer to what `sender` asked."""
+        """Send `message` as the answer to the call of `sender`."""
         return self.send(sender.address, message, answers=sender.call_id)
 
     def call(
@@ -270,12 +274,14 @@
             dealer = self._context.socket(zmq.DEALER)
             dealer.setsockopt(zmq.LINGER, 0)
             dealer.setsockopt(zmq.SNDHWM, SEND_HIGH_WATER_MARK)
-            # A peer that stopped without closing, or a connection that went silent,
-            # would keep it half open until the kernel gives up, minutes later.
+            # Without heartbeats, the connection would stay half open after the peer
+            # stopped without closing it or the link went silent, until the kernel
+            # gives up minutes later.
             dealer.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
             dealer.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
-            # A host without power answers no connection request; its successor at the
-            # same address would be reached only when the kernel asks again.
+            # A host without power does not answer an attempt to connect. Without the
+            # timeout, its successor at the same address would be reached only when the
+            # kernel repeats the request.
             dealer.setsockopt(zmq.CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS)
             dealer.setsockopt(zmq.HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS)
             dealer.setsockopt(zmq.RECONNECT_IVL, 50)
@@ -291,13 +297,13 @@
     def _receive(self) -> None:
         for n_received in itertools.count(1):
             frames = self._router.recv_multipart()
-            self._take(frames[-1])
-            # Receiving does not yield while messages wait: one busy peer would keep
-            # the other tasks, heartbeats among them, from running.
+            self._receive_frame(frames[-1])
+            # Receiving does not yield while messages are queued. Without this sleep,
+            # one busy peer would keep other tasks, such as heartbeats, from running.
             if n_received % RECEIVE_BATCH == 0:
                 eventlet.sleep(0)
 
-    def _take(self, data: bytes) -> None:
+    def _receive_frame(self, data: bytes) -> None:
         try:
             envelope = unpack(data)
         except codec.DecodeError:
@@ -315,9 +321,9 @@
         self._dispatch(envelope)
 
     def _is_current(self, envelope: Envelope) -> bool:
-        # A message of an earlier life of a restarted process may arrive after the
-        # first one of its new life. Incarnations rise at each start; 0 means the
-        # sender has not registered yet.
+        # A message of an earlier incarnation of a restarted process may arrive after
+        # the first one of its new incarnation. Incarnations rise at each start; 0 means
+        # that the sender has not registered yet.
         known = self._incarnations_by_sender.get(envelope.sender, 0)
         if envelope.incarnation and envelope.incarnation < known:
             return False
@@ -348,8 +354,9 @@
         try:
             handler(sender, message)
         except Exception:
-            # Were the receiving task to end, this process would hear nothing more, no
-            # answers to its own calls either, and go on as if all others were gone.
+            # If the receiving task ended, this process would receive nothing, not even
+            # the answers to its own calls, and would continue as if all other processes
+            # were down.
             eliot.write_traceback()
 
     def _authenticate(self) -> None:
--- a/tests/fakes/controller_world.py
+++ b/tests/fakes/controller_world.py
@@ -1,4 +1,4 @@
-"""Candidates for the controller's right, with every message in the test's hand."""
+"""Candidates for the controller lease, whose messages are delivered by the test."""
 
 from typing import Any
 
@@ -13,22 +13,22 @@
 
 @attrs.define(eq=False)
 class Candidate:
-    """A process that stands for the right, with a clock of its own rate."""
+    """A process that tries to acquire the lease, with a clock of its own rate."""
 
     decision: controller_lease.ControllerDecision
     rate: float = 1.0
-    # Answers that it hasn't read yet.
+    # Answers that the process has not read yet.
     unread: list[Any] = attrs.field(factory=list)
 
 
 class World:
-    """Candidates and the state group, with every message in the test's hand."""
+    """The candidates and the state group; the test delivers every message."""
 
     def __init__(self) -> None:
         self.now = 1000.0
         self.state = direct_state.DirectState()
         self.n_started = 0
-        # Commands on their way.
+        # Messages in transit: the sender, the message and when it was sent.
         self.in_flight: list[tuple[Candidate, object, float]] = []
 
     def candidate(
@@ -46,8 +46,8 @@
             sent_at = self.now * candidate.rate
             self.in_flight.append((candidate, effect.message, sent_at))
 
-    def arrive(self, index: int = -1) -> None:
-        """Let the state group take a message; its answer waits to be read."""
+    def deliver(self, index: int = -1) -> None:
+        """Deliver a message to the state group; its answer waits to be read."""
         candidate, message, sent_at = self.in_flight.pop(index)
         if isinstance(message, controller_commands.AskController):
             answer = self.state.query(message).unwrap()
@@ -56,11 +56,11 @@
         event = controller_lease.Answered(message, sent_at, answer)
         candidate.unread.append(event)
 
-    def turn(self, candidate: Candidate) -> None:
-        """Let the candidate do one turn, with all its answers coming at once."""
+    def run_round(self, candidate: Candidate) -> None:
+        """Run one round of the candidate, with all its answers delivered at once."""
         self.send(candidate, controller_lease.Due())
         while self.in_flight:
-            self.arrive()
+            self.deliver()
             self.send(candidate, candidate.unread.pop())
 
     def number(self, candidate: Candidate) -> int | None:
--- a/tests/fakes/direct_state.py
+++ b/tests/fakes/direct_state.py
@@ -1,4 +1,4 @@
-"""A state group of one that applies commands at once: Replica and StateClient."""
+"""A state group of one replica, as Replica and StateClient."""
 
 from typing import Any
 
@@ -9,17 +9,17 @@
 
 
 class DirectState:
-    """Applies commands to one `machine.State`; leads unless told otherwise."""
+    """Applies commands to a `machine.State` at once, and leads by default."""
 
     def __init__(self, state: machine.State | None = None) -> None:
         self.machine_state = machine.State() if state is None else state
         self.leads_since: float | None = 0.0
         self.term = 1
         self.index = 0
-        # The wall clock that commands are stamped with.
+        # Wall clock time of the commands.
         self.time = 0.0
         self.is_reachable = True
-        # Commands that will be applied with their answer lost.
+        # Number of commands whose answer is lost after they were applied.
         self.n_answers_to_lose = 0
         self.commands: list[object] = []
         self._watchers: list[Any] = []
@@ -36,7 +36,7 @@
         self._watchers.append(callback)
 
     def apply(self, command: object) -> Any:
-        # Through the codec, as the log does it.
+        # Encoded and decoded, as in the log.
         command = codec.decode(codec.encode(command))
         self.index += 1
         context = machine.Context(self.index, self.time)
--- a/tests/fakes/promise_group.py
+++ b/tests/fakes/promise_group.py
@@ -1,9 +1,9 @@
-"""A simulated group whose commands are batches and registrations, and its promises.
+"""A simulated group that stores batches and registrations, and checks its guarantees.
 
-What a leader has acknowledged must be seen by every later leader that may answer: a
-batch that was accepted, a whole text that waits for its score, a result at the position
-where it was read, an end after which nothing is listed, an upstream that said it
-leaves, the highest policy.
+What a leader has acknowledged must be in the state of every later leader that may
+answer: an accepted batch, a complete text that waits for its score, a result at the
+position where it was read, the end of a batch (after which no result is added), the
+departure of an upstream, and the highest policy version.
 """
 
 import attrs
@@ -14,7 +14,7 @@
 from bilberrydrum.fleet import commands as fleet_commands
 from bilberrydrum.fleet import model as fleet_model
 from bilberrydrum.fleet import policy
-from bilberrydrum.state import events, log, node, steward
+from bilberrydrum.state import events, log, membership_planner, node
 from tests.fakes import group_hosts, replica_group
 
 RETENTION_SECONDS = 1e9
@@ -24,10 +24,10 @@
 
 @attrs.define
 class Promises:
-    """What has been acknowledged or read so far."""
+    """What leaders have acknowledged, and what was read from them."""
 
     batch_ids: set[str] = attrs.field(factory=set)
-    # Whole texts that were kept, by batch and item.
+    # Complete texts that were stored, by batch and item.
     texts_by_key: dict[tuple[str, str], bytes] = attrs.field(factory=dict)
     results_by_batch: dict[str, list[batch_model.Result]] = attrs.field(factory=dict)
     # Number of results of a batch when its end was acknowledged.
@@ -37,24 +37,24 @@
 
 
 class PromiseGroup(replica_group.Group):
-    """A group that proposes random commands and checks its leaders' answers."""
+    """A group that proposes random commands and checks its leaders' state."""
 
     def __init__(self, n_hosts: int, seed: int, n_voters: int = 0) -> None:
         self.promises = Promises()
         self.n_voters = n_voters
         self.leaving: set[str] = set()
         self._proposals: dict[int, object] = {}
-        self._placed: dict[tuple[str, int], tuple[int, object]] = {}
-        self._last_proposal = 1_000_000
+        self._accepted: dict[tuple[str, int], tuple[int, object]] = {}
+        self._last_ticket = 1_000_000
         self._n_made = 0
         super().__init__(n_hosts, seed)
 
     def submit(self, client: object, host: group_hosts.Host, number: int = 0) -> None:
         command = self._draw()
-        self._last_proposal += 1
-        self._proposals[self._last_proposal] = command
+        self._last_ticket += 1
+        self._proposals[self._last_ticket] = command
         item = (log.KIND_LOCAL, codec.encode(command))
-        self.take(host, events.Propose((item,), self.now, self._last_proposal))
+        self.take(host, events.Propose((item,), self.now, self._last_ticket))
 
     def _draw(self) -> object:
         self._n_made += 1
@@ -88,14 +88,14 @@
     def _carry_out(self, host: group_hosts.Host, effect: object) -> None:
         if isinstance(effect, events.Accepted) and effect.ticket in self._proposals:
             command = self._proposals.pop(effect.ticket)
-            self._placed[host.name, effect.first_index] = (effect.term, command)
+            self._accepted[host.name, effect.first_index] = (effect.term, command)
         super()._carry_out(host, effect)
 
     def _commit(self, host: group_hosts.Host, entry: log.Entry) -> None:
         super()._commit(host, entry)
-        placed = self._placed.pop((host.name, entry.index), None)
-        if placed is not None and placed[0] == entry.term:
-            self._acknowledge(host, placed[1])
+        accepted = self._accepted.pop((host.name, entry.index), None)
+        if accepted is not None and accepted[0] == entry.term:
+            self._acknowledge(host, accepted[1])
 
     def _acknowledge(self, host: group_hosts.Host, command: object) -> None:
         promises = self.promises
@@ -125,12 +125,14 @@
         return known is not None and known.is_leaving
 
     def kill(self, host: group_hosts.Host) -> None:
-        """End a host's process, perhaps in the middle of a write; the power stays."""
+        """Kill a host's process, perhaps during a write; the host keeps its power."""
         if host.jobs:
             self.stop_writing(host, self.random.randrange(6))
             host.disk.fails_at = None
-        self._placed = {
-            key: placed for key, placed in self._placed.items() if key[0] != host.name
+        self._accepted = {
+            key: accepted
+            for key, accepted in self._accepted.items()
+            if key[0] != host.name
         }
         self.start(host)
 
@@ -150,7 +152,7 @@
         promises = self.promises
         kept_by_id = batch_commands.section_of(host.applied.state).batches_by_id
         for batch_id in promises.batch_ids:
-            assert batch_id in kept_by_id, f"accepted batch {batch_id} is gone"
+            assert batch_id in kept_by_id, f"accepted batch {batch_id} is missing"
         for batch_id, kept in kept_by_id.items():
             read = promises.results_by_batch.setdefault(batch_id, [])
             assert kept.results[: len(read)] == read, f"results of {batch_id} changed"
@@ -162,13 +164,13 @@
             assert n_ended in (None, len(read)), f"{batch_id} grew after its end"
 
     def _check_texts(self, kept: batch_model.KeptBatch) -> None:
-        """A text that is kept is scored some time, never generated again."""
+        """Check that no stored text was lost: its item would be generated again."""
         finished = kept.finished_ids()
         for batch_id, item_id in self.promises.texts_by_key:
             if batch_id != kept.batch_id or kept.is_ended:
                 continue
             is_there = item_id in kept.unscored_by_item_id or item_id in finished
-            assert is_there, f"the text of {item_id} of {batch_id} is gone"
+            assert is_there, f"the text of {item_id} of {batch_id} is missing"
         scored = [each for each in kept.results if each.score]
         for each in scored:
             assert each.text, f"{each.item_id} of {kept.batch_id} has only a score"
@@ -177,11 +179,15 @@
         section = fleet_commands.section_of(host.applied.state)
         for upstream_id in self.promises.leaving_ids:
             known = section.upstreams_by_id.get(upstream_id)
-            assert known is None or known.is_leaving, f"{upstream_id} came back"
-        assert section.policy.version >= self.promises.policy_version, "policy fell"
+            assert known is None or known.is_leaving, (
+                f"{upstream_id} is no longer leaving"
+            )
+        assert section.policy.version >= self.promises.policy_version, (
+            "the policy version decreased"
+        )
 
     def tend(self) -> None:
-        """Make the membership change that a leader finds due, within the bound."""
+        """Make the change that a leader finds due to keep `n_voters` voters."""
         for host in self.leaders():
             due = self.due_change(host, self._policy(host))
             if due is None:
@@ -192,7 +198,7 @@
             else:
                 self.change(host, due)
 
-    def _policy(self, host: group_hosts.Host) -> steward.Policy:
+    def _policy(self, host: group_hosts.Host) -> membership_planner.Policy:
         role = host.decisions.node.role
         assert isinstance(role, node.Leader)
         now = self.time_at(host)
@@ -201,7 +207,7 @@
             for replica_id, progress in role.progress_by_id.items()
             if now - max(progress.heard_at, role.since) > LOST_SECONDS
         )
-        return steward.Policy(self.n_voters, lost, frozenset(self.leaving))
+        return membership_planner.Policy(self.n_voters, lost, frozenset(self.leaving))
 
 
 def _accept(batch_id: str) -> batch_commands.AcceptBatch:
--- a/tests/fakes/replica_group.py
+++ b/tests/fakes/replica_group.py
@@ -22,12 +22,12 @@
     events,
     log,
     membership,
+    membership_planner,
+    membership_task,
     messages,
     node,
     sessions,
     snapshot,
-    steward,
-    stewardship,
     storage,
 )
 from tests.fakes import files, group_hosts, group_invariants, trace
@@ -304,15 +304,17 @@
                 yield host
 
     def due_change(
-        self, leader: group_hosts.Host, policy: steward.Policy = steward.NO_BOUND
+        self,
+        leader: group_hosts.Host,
+        policy: membership_planner.Policy = membership_planner.NO_BOUND,
     ) -> membership.Change | None:
         """Return the membership change that a leader finds due."""
         state = leader.decisions.node
         assert isinstance(state.role, node.Leader)
-        return steward.next_change(
+        return membership_planner.next_change(
             state.members,
             group_hosts.joining(self.hosts_by_name.values()),
-            stewardship.learned_by_id(state, state.role),
+            membership_task.replica_progress_by_id(state, state.role),
             state.commit_index,
             policy,
         )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -177,7 +177,7 @@
         self.answers = list(answers)
         self.asked = []
 
-    def call(self, message, timeout, try_seconds=0.0, request_id=""):
+    def call(self, message, timeout, attempt_seconds=0.0, request_id=""):
         self.asked.append(message)
         return self.answers.pop(0)
 
--- a/tests/test_promise_schedules.py
+++ b/tests/test_promise_schedules.py
@@ -1,8 +1,8 @@
-"""Randomised schedules over batches and registrations, with their promises.
+"""Random schedules of faults, in a group that stores batches and registrations.
 
-The troubles are in `tests.fakes.group_troubles`, the checks in
-`tests.fakes.promise_group`. BILBERRYDRUM_SCHEDULES sets how many schedules are run;
-the number of schedules and steps is printed at the end.
+The faults are in `tests.fakes.group_troubles`. The checks that nothing acknowledged is
+lost are in `tests.fakes.promise_group`. BILBERRYDRUM_SCHEDULES sets how many schedules
+are run; the number of schedules and steps is printed at the end.
 """
 
 import os
@@ -17,7 +17,7 @@
 from tests.fakes import group_troubles, promise_group
 
 N_SCHEDULES = int(os.environ.get("BILBERRYDRUM_SCHEDULES", "12"))
-N_TROUBLES = 12
+N_FAULTS = 12
 
 
 def run_schedule(seed):
@@ -26,17 +26,17 @@
     group = promise_group.PromiseGroup(3, seed, n_voters=3)
     group.add_host("h3")
     group.run(2.0)
-    group_troubles.trouble(group, rng, N_TROUBLES)
+    group_troubles.trouble(group, rng, N_FAULTS)
     group.run(6.0)
     return group
 
 
 class Schedules(unittest.TestCase):
-    def test_promises(self):
-        """Callers were told of batches, results, ends and departures.
+    def test_guarantees(self):
+        """A leader acknowledged batches, results, ends of batches and departures.
 
-        Whatever happens to the hosts in between, as long as no more disks are lost
-        than the group bears, every later leader says the same.
+        Whatever faults the hosts have, no later leader may contradict it, as long as no
+        more disks are lost than the group tolerates.
         """
         n_steps = []
 
@@ -53,10 +53,10 @@
 
 
 class Progress(unittest.TestCase):
-    def test_group_goes_on_after_a_store_is_taken_away(self):
-        """A store is emptied, goes, and another loses its disk right after.
+    def test_group_commits_after_a_store_is_replaced(self):
+        """A store is drained and removed, and another loses its disk right after.
 
-        The group must commit again: three others hold its places by then.
+        The group must commit again, because three other stores are voters by then.
         """
         for seed in range(4):
             group = promise_group.PromiseGroup(3, seed, n_voters=3)
--- a/tests/test_state_controller.py
+++ b/tests/test_state_controller.py
@@ -1,4 +1,4 @@
-"""The right to order upstreams about: at most one orderer, numbers that only rise."""
+"""The controller lease: at most one holder, and numbers that only rise."""
 
 import unittest
 from typing import Any
@@ -42,57 +42,61 @@
         self.world = controller_world.World()
         self.first = self.world.candidate("a")
         self.second = self.world.candidate("b")
-        self.world.turn(self.first)
+        self.world.run_round(self.first)
 
-    def test_first_candidate_gets_the_right_at_once(self) -> None:
+    def test_first_candidate_acquires_the_lease_at_once(self) -> None:
         self.assertEqual(self.world.number(self.first), 1)
-        self.world.turn(self.second)
+        self.world.run_round(self.second)
         self.assertIsNone(self.world.number(self.second))
 
-    def test_renewing_keeps_the_right(self) -> None:
+    def test_renewals_keep_the_lease(self) -> None:
         for _ in range(20):
             self.world.now += 1.0
-            self.world.turn(self.first)
-            self.world.turn(self.second)
+            self.world.run_round(self.first)
+            self.world.run_round(self.second)
             self.assertEqual(self.world.number(self.first), 1)
             self.assertIsNone(self.world.number(self.second))
 
-    def test_silent_holder_is_followed_after_a_whole_lease(self) -> None:
-        self.world.turn(self.second)
+    def test_silent_holder_is_replaced_after_a_full_lease(self) -> None:
+        self.world.run_round(self.second)
         self.world.now += LEASE - 0.01
-        self.world.turn(self.second)
+        self.world.run_round(self.second)
         self.assertIsNone(self.world.number(self.second))
         self.world.now += 0.01
-        self.world.turn(self.second)
+        self.world.run_round(self.second)
         self.assertEqual(self.world.number(self.second), 2)
         self.assertIsNone(self.world.number(self.first))
 
     def test_renewal_committed_just_before_makes_the_takeover_fail(self) -> None:
-        """The candidate has waited a lease; the holder's renewal was only delayed.
+        """A candidate has waited for a full lease, but the renewal was only delayed.
 
-        It is committed between the candidate's look and its take-over. Both would
-        hold the right if the take-over didn't name what was seen.
+        The renewal is committed between the candidate's poll and its takeover. If the
+        takeover did not name the renewal that was seen, both would hold the lease.
         """
-        self.world.turn(self.second)
+        self.world.run_round(self.second)
         self.world.now += LEASE - 0.5
         self.world.send(self.first, controller_lease.Due())
         renewal = self.world.in_flight.pop()
         self.world.now += 0.5
         self.world.send(self.second, controller_lease.Due())
-        self.world.arrive()
+        self.world.deliver()
         self.world.send(self.second, self.second.unread.pop())
         self.world.in_flight.insert(0, renewal)
-        self.world.arrive(0)
+        self.world.deliver(0)
         self.world.send(self.first, self.first.unread.pop())
-        self.world.arrive()
+        self.world.deliver()
         self.world.send(self.second, self.second.unread.pop())
         self.assertEqual(self.world.number(self.first), 1)
         self.assertIsNone(self.world.number(self.second))
 
     def test_lease_counts_from_when_the_renewal_was_sent(self) -> None:
-        """The answer to a renewal is read late, by a process that was stopped."""
+        """A process that was suspended reads the answer to its renewal late.
+
+        If the lease counted from then, the process would hold it for longer than the
+        other candidates wait.
+        """
         self.world.send(self.first, controller_lease.Due())
-        self.world.arrive()
+        self.world.deliver()
         self.world.now += LEASE * 0.95 + 0.01
         self.world.send(self.first, self.first.unread.pop())
         self.assertIsNone(self.world.number(self.first))
@@ -101,11 +105,11 @@
         """The holder runs with an older, longer lease than the candidate."""
         world = controller_world.World()
         holder = world.candidate("a", lease=9.0)
-        world.turn(holder)
-        world.turn(self.second)
+        world.run_round(holder)
+        world.run_round(self.second)
         for _ in range(8):
             world.now += 1.0
-            world.turn(self.second)
+            world.run_round(self.second)
             self.assertEqual(
                 (world.number(holder), world.number(self.second)), (1, None)
             )
@@ -113,68 +117,68 @@
     def test_numbers_rise_from_holder_to_holder(self) -> None:
         numbers = []
         for candidate in (self.second, self.first, self.second):
-            self.world.turn(candidate)
+            self.world.run_round(candidate)
             self.world.now += LEASE
-            self.world.turn(candidate)
+            self.world.run_round(candidate)
             numbers.append(self.world.number(candidate))
         self.assertEqual(numbers, [2, 3, 4])
 
     def test_numbers_of_a_new_group_are_above_those_of_a_lost_one(self) -> None:
-        """All replicas are lost and a group is founded anew, from nothing.
+        """All replicas are lost, and a new group is bootstrapped with an empty state.
 
-        Engines refuse numbers below the highest that they have met, so a group that
-        counts from 1 again could order nothing.
+        Engines refuse numbers below the highest that they have seen. If the new group
+        counted from 1 again, all its orders would be refused.
         """
         for _ in range(3):
-            self.world.turn(self.second)
+            self.world.run_round(self.second)
             self.world.now += LEASE
-            self.world.turn(self.second)
+            self.world.run_round(self.second)
         lost = controller_commands.read(self.world.state.state()).number
         world = controller_world.World()
         world.state.time = 1000.5
         candidate = world.candidate("a")
-        world.turn(candidate)
+        world.run_round(candidate)
         self.assertEqual(world.number(candidate), 1000)
         self.assertLess(lost, 1000)
 
-    def test_number_of_an_earlier_life_is_not_taken_over(self) -> None:
-        """A process takes the right, orders, and crashes; it had been started anew.
+    def test_number_of_an_earlier_incarnation_is_not_taken_over(self) -> None:
+        """Two incarnations of a process try to take over after the same poll.
 
-        Both lives took over from the same look. The second must not order under the
-        first one's number, whose orders may still be under way.
+        The earlier one acquires the lease. The later one must not use its number,
+        because orders of the earlier one may still be in transit.
         """
         earlier, later = (self.world.candidate("b") for _ in range(2))
         for candidate in (earlier, later):
-            self.world.turn(candidate)
+            self.world.run_round(candidate)
         self.world.now += LEASE
         self.world.send(later, controller_lease.Due())
-        self.world.arrive()
+        self.world.deliver()
         self.world.send(later, later.unread.pop())
         acquisition = self.world.in_flight.pop()
-        self.world.turn(earlier)
+        self.world.run_round(earlier)
         self.assertEqual(self.world.number(earlier), 2)
         self.world.in_flight.append(acquisition)
-        self.world.arrive()
+        self.world.deliver()
         self.world.send(later, later.unread.pop())
         self.assertIsNone(self.world.number(later))
 
-    def test_right_given_back_is_free_at_once(self) -> None:
+    def test_released_lease_is_free_at_once(self) -> None:
         release = controller_commands.ReleaseController("a", 1)
         self.world.state.apply(release)
-        self.world.turn(self.second)
+        self.world.run_round(self.second)
         self.assertEqual(self.world.number(self.second), 2)
 
     @tools.params(("an earlier number", "a", 1), ("another process", "b", 2))
     def test_late_renewal_or_release_changes_nothing(
         self, name: str, process_id: str, number: int
     ) -> None:
-        self.world.turn(self.second)
+        self.world.run_round(self.second)
         self.world.now += LEASE
-        self.world.turn(self.second)
+        self.world.run_round(self.second)
         self.world.now += LEASE
-        self.world.turn(self.first)
+        self.world.run_round(self.first)
         self.world.now += LEASE
-        self.world.turn(self.first)
+        self.world.run_round(self.first)
         self.assertEqual(self.world.number(self.first), 3)
         before = attrs.astuple(controller_commands.read(self.world.state.state()))
         for command in (
@@ -199,22 +203,22 @@
     def test_restored_state_neither_lowers_numbers_nor_shortens_leases(
         self, name: str, number: int, is_new_group: bool, next_number: int
     ) -> None:
-        """The state is restored from a copy, which may be older, and give nobody.
+        """The state is restored from a backup, which may be older and have no holder.
 
-        No number is given twice. Whoever holds the right may still order, so the
-        next holder waits a whole lease, though the copy knows of no holder.
+        No number may be given twice. The current holder may still send orders, so the
+        next one must wait for a full lease, although the backup has no holder.
         """
         copy = controller_commands.Section(number)
         self.restore(copy, is_new_group)
-        self.world.turn(self.second)
+        self.world.run_round(self.second)
         self.assertEqual(self.world.number(self.first), 1)
         self.assertIsNone(self.world.number(self.second), name)
         self.world.now += LEASE
-        self.world.turn(self.second)
+        self.world.run_round(self.second)
         self.assertEqual(self.world.number(self.second), next_number, name)
         self.assertIsNone(self.world.number(self.first))
 
-    def test_fleet_shares_the_looking_at_a_healthy_holder(self) -> None:
+    def test_fleet_shares_the_polling_of_a_healthy_holder(self) -> None:
         state = controller_commands.ControllerState(1, "a", "t", 5, LEASE, 330, 0.5)
         asked = controller_commands.AskController()
         answered = controller_lease.Answered(asked, 1000.0, state)
@@ -227,39 +231,39 @@
 
 class TestOrders(unittest.TestCase):
     @tools.params((True, ["new"]), (False, ["old", "new"]))
-    def test_controller_wakes_with_an_order_in_hand(
+    def test_controller_resumes_with_an_order_ready_to_send(
         self, checks_fencing: bool, carried_out: list[str]
     ) -> None:
-        """The controller is frozen between its check and its send, and replaced.
+        """The controller is suspended between its check and its send, and replaced.
 
-        An upstream that checks refuses the old order whenever it comes. One that
-        ignores the number gets no new order until an old one has had the time to
-        arrive, so the new one is the last that it carries out.
+        An upstream that checks the number refuses the old order whenever it arrives.
+        One that ignores the number gets no new order before the old ones must have
+        arrived, so the new order is the last that it carries out.
         """
         world = controller_world.World()
         old, new = world.candidate("a"), world.candidate("b")
         upstream = Upstream(checks_fencing)
-        world.turn(old)
-        in_hand = world.number(old)
-        assert in_hand is not None
-        world.turn(new)
+        world.run_round(old)
+        old_number = world.number(old)
+        assert old_number is not None
+        world.run_round(new)
         world.now += LEASE
-        world.turn(new)
+        world.run_round(new)
         number = world.number(new)
         assert number is not None
-        # The old controller asks once more before the next order, and gets none.
+        # The old controller checks again before its next order, and gets no number.
         self.assertIsNone(world.number(old))
         if checks_fencing:
             self.assertTrue(upstream.order(number, "new"))
-            self.assertFalse(upstream.order(in_hand, "old"))
+            self.assertFalse(upstream.order(old_number, "old"))
         else:
             self.assertFalse(world.may_order_unfenced(new))
-            upstream.order(in_hand, "old")
+            upstream.order(old_number, "old")
             while not world.may_order_unfenced(new):
                 self.assertLess(world.now, 1100.0)
                 world.now += 1.0
-                world.turn(new)
-            # The old lease and the longest flight have passed since the take-over.
+                world.run_round(new)
+            # The old lease and the longest flight have passed since the takeover.
             self.assertGreaterEqual(
                 world.now, 1000.0 + LEASE + LEASE + controller_world.FLIGHT
             )
@@ -268,9 +272,9 @@
 
 
 class ControllerMachine(stateful.RuleBasedStateMachine):
-    """Any schedule of looks, renewals, delays, losses and freezes.
+    """Random schedules of polls, renewals, delays, losses and suspended processes.
 
-    At no time do two processes hold the right, and the number never falls.
+    At no time do two processes hold the lease, and the number never falls.
     """
 
     def __init__(self) -> None:
@@ -288,23 +292,23 @@
         self.world.send(self.candidates[index], controller_lease.Due())
 
     @stateful.rule(index=strategies.integers(0, 2))
-    def turn(self, index: int) -> None:
+    def run_round(self, index: int) -> None:
         self.world.in_flight.clear()
-        self.world.turn(self.candidates[index])
+        self.world.run_round(self.candidates[index])
 
     @stateful.rule(data=strategies.data())
     @stateful.precondition(lambda self: self.world.in_flight)
-    def arrive(self, data: Any) -> None:
+    def deliver(self, data: Any) -> None:
         last = len(self.world.in_flight) - 1
-        self.world.arrive(data.draw(strategies.integers(0, last)))
+        self.world.deliver(data.draw(strategies.integers(0, last)))
 
     @stateful.rule(data=strategies.data())
     @stateful.precondition(lambda self: self.world.in_flight)
-    def arrive_twice(self, data: Any) -> None:
+    def deliver_twice(self, data: Any) -> None:
         last = len(self.world.in_flight) - 1
         index = data.draw(strategies.integers(0, last))
         self.world.in_flight.append(self.world.in_flight[index])
-        self.world.arrive(index)
+        self.world.deliver(index)
 
     @stateful.rule(index=strategies.integers(0, 2))
     def read(self, index: int) -> None:
@@ -321,7 +325,7 @@
         self.world.now += seconds
 
     @stateful.invariant()
-    def at_most_one_holds_the_right(self) -> None:
+    def at_most_one_holds_the_lease(self) -> None:
         numbers = [self.world.number(each) for each in self.candidates]
         held = [number for number in numbers if number is not None]
         assert len(held) <= 1, numbers
@@ -335,10 +339,11 @@
 
 
 class TestController(unittest.TestCase):
-    def test_task_holds_checks_and_gives_back(self) -> None:
-        """The task gets the right; its process is stopped past the lease.
+    def test_task_acquires_checks_and_releases(self) -> None:
+        """The task acquires the lease; its process is suspended until it has expired.
 
-        The check made when it wakes refuses the order, before any other task ran.
+        The check after the process resumes refuses the order, before any other task
+        has run.
         """
         state = direct_state.DirectState()
         task = controller.Controller(options.Options("a"), state)
--- a/tests/test_state_leader_calls.py
+++ b/tests/test_state_leader_calls.py
@@ -1,4 +1,4 @@
-"""Calls that a group's leader answers: what the caller is told when leaders change."""
+"""Calls to the leader of a group: what callers learn when the leadership changes."""
 
 import unittest
 from collections.abc import Callable
@@ -31,8 +31,8 @@
         return leader_calls.NotLeading("at-a", ("at-a",))
 
 
-class Wire:
-    """Carries a call to the one replica and its answer back."""
+class FakeTransport:
+    """Delivers calls to the only replica, and its answers to the caller."""
 
     def __init__(self) -> None:
         self._handlers: dict[type[Any], transport.Handler] = {}
@@ -50,14 +50,14 @@
         return result.Ok(self._answered.wait())
 
 
-class LeadersChange(unittest.TestCase):
+class LeadershipChange(unittest.TestCase):
     def call(self, handler: Callable[[Replica], Any], term: int) -> Any:
         with eventlet.Timeout(10.0):
-            wire: Any = Wire()
+            fake_transport: Any = FakeTransport()
             replica: Any = Replica(term)
-            service = leader_service.LeaderService(replica, wire)
+            service = leader_service.LeaderService(replica, fake_transport)
             service.serve(batch_messages.AskEnd, lambda *given: handler(replica))
-            calls = leader_calls.LeaderCalls(wire, ["at-a"])
+            calls = leader_calls.LeaderCalls(fake_transport, ["at-a"])
             return calls.call(MESSAGE, 0.5)
 
     @staticmethod
@@ -80,11 +80,11 @@
 
     @staticmethod
     def cannot_tell_whether_it_commits(replica: Replica) -> Any:
-        return leader_service.UNCLEAR
+        return leader_service.UNKNOWN_OUTCOME
 
     @tools.params(
-        # Name, what the replica does with the call, its term; whether the caller is
-        # told that the call may have had its effect.
+        # Name, what the replica does with the call, its term; whether the caller learns
+        # that the call may have taken effect.
         ("lost its lease", "commits_and_loses_its_lease", 3, True),
         ("leads in another term", "commits_and_leads_anew", 3, True),
         ("does not lead", "commits", 0, False),
@@ -94,11 +94,11 @@
     def test_effect_of_a_call_without_an_answer(
         self, name: str, handler: str, term: int, may_have_applied: bool
     ) -> None:
-        """A batch is refused with the promise that it never runs, and runs.
+        """A batch is refused with the guarantee that it never runs, but it runs.
 
-        The leader commits the batch and loses its lease before it has answered. The
-        answer was withheld and "does not lead, nothing was done" sent in its place; no
-        other leader was found in time, so the gateway answered 503.
+        The leader commits the batch and loses its lease before it has answered. If it
+        then answered that it does not lead and the call had no effect, and no other
+        leader were found in time, the gateway would answer 503.
         """
         answer = self.call(getattr(self, handler), term)
         self.assertEqual(answer.unwrap_err().may_have_applied, may_have_applied, name)
--- a/tests/test_state_membership.py
+++ b/tests/test_state_membership.py
@@ -5,7 +5,7 @@
 import attrs
 from nose2 import tools
 
-from bilberrydrum.state import events, membership, node, steward
+from bilberrydrum.state import events, membership, membership_planner, node
 from tests import test_state_core
 from tests.fakes import replica_group
 
@@ -112,13 +112,13 @@
         if "d" in learners:
             current = membership.Membership((*current.replicas, LEARNER))
         match_index, is_old_heard = learned
-        change = steward.next_change(
+        change = membership_planner.next_change(
             current,
             joining,
             {
-                "c2": steward.Learned(match_index, True),
-                "c": steward.Learned(0, is_old_heard),
-                "d": steward.Learned(match_index, True),
+                "c2": membership_planner.ReplicaProgress(match_index, True),
+                "c": membership_planner.ReplicaProgress(0, is_old_heard),
+                "d": membership_planner.ReplicaProgress(match_index, True),
             },
             commit_index,
         )
@@ -134,14 +134,14 @@
     def due(self, replicas, lost=(), leaving=(), joining=(), behind=()):
         """Return the kind of the change that is due, and whose."""
         learned = {
-            each.replica_id: steward.Learned(
+            each.replica_id: membership_planner.ReplicaProgress(
                 100 if each.replica_id not in behind else 0,
                 each.replica_id not in lost,
             )
             for each in replicas
         }
-        policy = steward.Policy(3, frozenset(lost), frozenset(leaving))
-        change = steward.next_change(
+        policy = membership_planner.Policy(3, frozenset(lost), frozenset(leaving))
+        change = membership_planner.next_change(
             membership.Membership(tuple(replicas)),
             {each.process_id: each for each in joining},
             learned,
@@ -187,9 +187,13 @@
             membership.ReplicaInfo(f"r{i}", f"p{i}", f"a{i}", is_voter=False)
             for i in (3, 4)
         ]
-        learned = {f"r{i}": steward.Learned(100, i != 2) for i in range(3)}
-        policy = steward.Policy(3, frozenset({"r2"}), zones_by_process_id=zones)
-        change = steward.next_change(
+        learned = {
+            f"r{i}": membership_planner.ReplicaProgress(100, i != 2) for i in range(3)
+        }
+        policy = membership_planner.Policy(
+            3, frozenset({"r2"}), zones_by_process_id=zones
+        )
+        change = membership_planner.next_change(
             membership.Membership(self.VOTERS[:3]),
             {each.process_id: each for each in standing_by},
             learned,
--- a/tests/test_state_operators.py
+++ b/tests/test_state_operators.py
@@ -24,7 +24,7 @@
 
 
 class FakeState:
-    """Answers by the class of what is asked, and notes it."""
+    """Answers by the class of the command or query, and records it."""
 
     def __init__(self, answers: dict[type[Any], Any]) -> None:
         self.answers = answers
@@ -81,7 +81,7 @@
         ("DELETE", "/v1/state/members/r1", b""),
         ("POST", "/v1/state/members", b'{"process_id": "p", "peer_address": "a"}'),
     )
-    def test_unreachable_group_is_told_with_retry_after(
+    def test_unreachable_group_is_answered_with_retry_after(
         self, method: str, path: str, body: bytes
     ) -> None:
         status, headers, answer = self.call({}, method, path, body)
@@ -110,7 +110,7 @@
         status, _, _ = self.call(answers, "POST", "/v1/state/members", body)
         self.assertEqual(status, expected)
 
-    def test_snapshot_goes_out_and_comes_back_by_its_digest(self) -> None:
+    def test_snapshot_is_saved_and_restored_with_its_digest(self) -> None:
         data = saved()
         answers = {
             queries.SaveState: result.Ok(queries.SavedState(data)),
@@ -125,7 +125,7 @@
         self.assertEqual((status, json.loads(body)), (200, {"digest": digest}))
 
     @tools.params(0, 40, -1)
-    def test_damaged_snapshot_is_refused_unsent(self, position: int) -> None:
+    def test_damaged_snapshot_is_refused_and_not_submitted(self, position: int) -> None:
         data = bytearray(saved())
         data[position] ^= 1
         status, _, body = self.call({}, "POST", "/v1/state/snapshot", bytes(data))
--- a/tests/test_state_processes.py
+++ b/tests/test_state_processes.py
@@ -28,24 +28,25 @@
     def test_registration_sent_again_gets_the_same_incarnation(self) -> None:
         """The answer to a registration is lost and the process sends it again.
 
-        With a second number the process would go on under the first, and all others
-        would drop its messages as those of an earlier life.
+        If it got a second number but used the first, all others would drop its messages
+        as those of an earlier incarnation.
         """
         self.assertEqual(register(self.state, "a", "t"), 1)
         self.assertEqual(register(self.state, "a", "t"), 1)
         self.assertEqual(self.section().former_by_incarnation, {})
 
     def test_incarnation_is_not_given_again_after_forgetting(self) -> None:
-        """A process is forgotten, and comes back.
+        """A process is removed from the state, and registers again.
 
-        Were its number given again, late messages of its earlier life would count.
+        If its number were given again, late messages of its earlier incarnation would
+        be accepted.
         """
         register(self.state, "a", "t1")
         self.state.apply(processes.ForgetProcesses((1,)))
         self.assertEqual(self.section().processes_by_id, {})
         self.assertEqual(register(self.state, "a", "t2"), 2)
 
-    def test_earlier_life_is_kept_until_forgotten(self) -> None:
+    def test_earlier_incarnation_is_kept_until_forgotten(self) -> None:
         register(self.state, "a", "t1")
         register(self.state, "a", "t2")
         self.assertEqual(self.section().former_by_incarnation, {1: "a"})
@@ -68,9 +69,9 @@
         self.assertEqual(changes, [1, 1, 2, 2, 3])
 
     def test_restored_copy_gives_no_incarnation_twice(self) -> None:
-        """An older copy is restored, into the same group or into a new one.
+        """An older backup is restored, into the same group or into a new one.
 
-        A number given after the copy was made must not be given to another process.
+        A number given after the backup was made must not be given to another process.
         """
         register(self.state, "a", "t1")
         copy = codec.encode(self.section())
@@ -81,9 +82,9 @@
             self.state.time = time
             restored = codec.decode(copy)
             machine.keep_rising(restored, known)
-            # Lives that the copy doesn't know are waited for like any earlier life.
+            # Incarnations that the backup lacks count as earlier incarnations.
             former = restored.former_by_incarnation.values()
-            self.assertIn(processes.UNKNOWN_LIVES, former)
+            self.assertIn(processes.UNKNOWN_INCARNATIONS, former)
             self.state.state().sections[processes.SECTION] = restored
             given = register(self.state, "c", f"t{time}")
             self.assertGreaterEqual(given, lowest)
@@ -91,7 +92,7 @@
             self.assertGreater(restored.change, max(current.change, int(time) - 1))
 
     def test_register_waits_until_the_state_group_answers(self) -> None:
-        """The first answer is lost: the process registers by sending again."""
+        """The first answer is lost, and the process registers by a retry."""
         self.state.n_answers_to_lose = 1
         incarnation = processes.register(options.Options("a"), self.state)
         self.assertEqual(incarnation, 1)
--- a/tests/test_state_remote.py
+++ b/tests/test_state_remote.py
@@ -1,6 +1,6 @@
 """The state group's client: redirects, lost answers, lost sessions.
 
-The replicas are played by the test through a transport that only notes what is sent.
+The tests act as the replicas, through a transport that only records what is sent.
 """
 
 import unittest
@@ -15,7 +15,7 @@
 
 
 class FakeTransport:
-    """Notes what is sent and hands in what the test says."""
+    """Records what is sent, and delivers what the test passes to `receive`."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[str, Any]] = []
@@ -33,7 +33,7 @@
         self._handlers[type(message)](sender, message)
 
     def wait_for(self, cls: type[Any], n_messages: int = 1) -> list[tuple[str, Any]]:
-        """Return what was sent of a class, once there are `n_messages`."""
+        """Wait until `n_messages` of a class were sent, and return them."""
         with eventlet.Timeout(10.0):
             while True:
                 found = [each for each in self.sent if isinstance(each[1], cls)]
@@ -72,11 +72,11 @@
 
 
 class Commands(ClientCase):
-    def test_lost_answer_is_asked_for_under_the_same_number(self) -> None:
+    def test_command_is_retried_under_the_same_number(self) -> None:
         """The leader applied the command, and its answer is lost.
 
-        The command sent again names the same session and number, by which the group
-        knows that it is the same.
+        The retry has the same session and number, by which the group recognises that
+        it is the same command.
         """
         call = self.submit()
         self.open()
@@ -86,7 +86,7 @@
         self.answer(again[0], again[1], 1)
         self.assertEqual(call.wait().unwrap().total, 1)
 
-    def test_silent_replica_is_left_for_another(self) -> None:
+    def test_another_replica_is_tried_after_a_silent_one(self) -> None:
         call = self.submit()
         first = self.open()
         sent = self.carrier.wait_for(messages.Submit, 2)
@@ -110,9 +110,10 @@
         self.assertTrue(call.wait().is_ok())
 
     def test_redirect_to_the_leader_that_went_silent_is_not_followed(self) -> None:
-        """The leader dies; the others still name it until they have elected one.
+        """The leader's host fails, and the others name it until they elect a new one.
 
-        Going back to it, the client would wait for a dead host each time.
+        If the client followed these redirects, it would wait for the failed host each
+        time.
         """
         call = self.submit()
         dead = self.open()
@@ -125,7 +126,7 @@
         self.answer(*third, 1)
         self.assertTrue(call.wait().is_ok())
 
-    def test_command_that_was_only_redirected_has_not_applied(self) -> None:
+    def test_command_that_was_only_redirected_was_not_applied(self) -> None:
         call = self.submit()
         address = self.open()
         _, submit = self.carrier.wait_for(messages.Submit)[0]
@@ -138,8 +139,8 @@
         assert isinstance(answer, result.Err)
         self.assertFalse(answer.err_value.may_have_applied)
 
-    def test_answer_of_an_earlier_life_is_not_taken(self) -> None:
-        """A process restarts, and an answer to its earlier life arrives."""
+    def test_answer_to_an_earlier_incarnation_is_ignored(self) -> None:
+        """A process restarts, and an answer to its earlier incarnation arrives."""
         call = self.submit()
         address = self.open()
         _, submit = self.carrier.wait_for(messages.Submit)[0]
@@ -158,7 +159,7 @@
         assert isinstance(answer, result.Err)
         self.assertTrue(answer.err_value.may_have_applied)
 
-    def test_lost_session_sent_once_goes_on_in_a_new_one(self) -> None:
+    def test_command_sent_once_moves_from_a_lost_session_to_a_new_one(self) -> None:
         call = self.submit()
         address = self.open(5)
         _, submit = self.carrier.wait_for(messages.Submit)[0]
@@ -170,11 +171,11 @@
         self.answer(*sent, 1)
         self.assertTrue(call.wait().is_ok())
 
-    def test_lost_session_sent_twice_is_reported_as_unknown(self) -> None:
-        """A command was sent twice, and then the session is gone.
+    def test_command_sent_twice_in_a_lost_session_is_unknown(self) -> None:
+        """A command was sent twice, and then its session has expired.
 
-        The first sending may have been applied while the session stood. Sent again in
-        a new session, it could have a second effect.
+        The first copy may have been applied before the session expired. If the command
+        were sent again in a new session, it could take effect twice.
         """
         call = self.submit()
         address = self.open(5)
@@ -185,18 +186,18 @@
         assert isinstance(answer, result.Err)
         self.assertTrue(answer.err_value.may_have_applied)
         n_sessions = len(self.carrier.wait_for(messages.OpenSession))
-        self.assertEqual(n_sessions, 1, "sent on in a new session")
+        self.assertEqual(n_sessions, 1, "sent again in a new session")
 
-    def test_command_that_was_never_sent_has_not_applied(self) -> None:
+    def test_command_that_was_never_sent_was_not_applied(self) -> None:
         answer = self.submit(timeout=0.3).wait()
         assert isinstance(answer, result.Err)
         self.assertFalse(answer.err_value.may_have_applied)
 
     def test_commands_beyond_the_window_wait(self) -> None:
-        """One command hangs while hundreds follow: the session keeps their answers.
+        """One command gets no answer while hundreds follow, whose answers are kept.
 
-        More than it keeps must not be under way, or an answer needed for one sent
-        again would be gone.
+        If more commands were in flight than the session keeps answers, the answer to a
+        command could be dropped before its client has retried it.
         """
         calls = [self.submit() for _ in range(remote.WINDOW + 50)]
         self.open()
--- a/tests/test_state_replica.py
+++ b/tests/test_state_replica.py
@@ -225,5 +225,5 @@
         one.node.snapshot_bytes = n_bytes
         if not is_heard:
             one.now = one.node.now = one.now + 5.0
-        self.make(one).hand_over()
+        self.make(one).transfer_leadership()
         self.assertEqual(isinstance(one.node.role, node.Leader), leads, name)
--- a/tests/test_state_serving.py
+++ b/tests/test_state_serving.py
@@ -1,4 +1,4 @@
-"""Reads under the lease, who waits for an entry, and founding a group."""
+"""Reads under the lease, waiters for log entries, and bootstrapping a group."""
 
 import unittest
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class Sent:
-    """Notes what is sent."""
+    """Records what is sent."""
 
     def __init__(self) -> None:
         self.messages: list[Any] = []
@@ -53,20 +53,20 @@
         self.has_lease = True
         self.assertEqual(self.serve(7, 7), 1)
 
-    def test_lease_that_ends_while_answering_keeps_the_answer_back(self) -> None:
-        """The process is stopped after it looked at the lease, and wakes much later.
+    def test_answer_is_withheld_if_the_lease_expires_meanwhile(self) -> None:
+        """The process is suspended after it has checked the lease, and resumes late.
 
-        Another leader has taken commands meanwhile. The answer is made from the past;
-        the lease, looked at again before sending, has ended.
+        Another leader has committed commands meanwhile, so the answer is out of date.
+        The lease is checked again before the answer is sent, and has expired.
         """
         self.lease_ends_while_answering = True
         self.assertEqual(self.serve(7, 7), 0)
         self.assertEqual(len(self.reads), 1)
 
-    def test_client_is_sent_on_after_a_while(self) -> None:
+    def test_client_is_redirected_after_a_timeout(self) -> None:
         self.has_lease = False
-        self.assertEqual(self.reads.take_expired(10.5), [])
-        self.assertEqual(len(self.reads.take_expired(11.5)), 1)
+        self.assertEqual(self.reads.pop_expired(10.5), [])
+        self.assertEqual(len(self.reads.pop_expired(11.5)), 1)
 
 
 class Waiting(unittest.TestCase):
@@ -75,28 +75,29 @@
         self.waiters = serving.Waiters(self.sent)
 
     @tools.params((2, True), (3, False))
-    def test_answer_goes_out_only_for_the_entry_that_was_taken(
+    def test_answer_is_sent_only_for_the_entry_that_was_proposed(
         self, term: int, is_answered: bool
     ) -> None:
-        """The leader took a command, lost its term, and another entry is there now.
+        """The leader lost its leadership, and its entry was overwritten.
 
-        The other entry's answer must not go to the first one's client.
+        The answer of the entry that is now at this index must not be sent to the client
+        of the overwritten one.
         """
         waiter = serving.Waiter(2, None, "at", "c", 1, 5)
         self.waiters.add(9, waiter)
-        self.waiters.applied(applier.Applied(9, term, b"answer"))
+        self.waiters.complete(applier.Applied(9, term, b"answer"))
         self.waiters.outbox.flush()
         self.assertEqual(bool(self.sent.messages), is_answered)
 
-    def test_replaced_proposal_is_told_that_it_is_not_in_the_log(self) -> None:
-        ends: list[Any] = []
-        self.waiters.add(9, serving.Waiter(2, done=ends.append))
-        self.waiters.add(9, serving.Waiter(4, done=ends.append))
-        self.assertEqual(ends, [None])
+    def test_replaced_proposal_is_reported_as_not_in_the_log(self) -> None:
+        outcomes: list[Any] = []
+        self.waiters.add(9, serving.Waiter(2, done=outcomes.append))
+        self.waiters.add(9, serving.Waiter(4, done=outcomes.append))
+        self.assertEqual(outcomes, [None])
 
 
 class Founding(unittest.TestCase):
-    """An empty host starts a group only if all others are empty too."""
+    """An empty host bootstraps a group only if all others are empty too."""
 
     MEMBERS = tuple(options.Member(each, f"at-{each}") for each in "abc")
 
@@ -116,25 +117,26 @@
     ) -> None:
         """A host that lost its disk is restarted while one of the others is down.
 
-        Starting a group with the third, also empty to it, it would be a second one
-        beside the one that the silent host still holds.
+        If it bootstrapped a group with the third, which is empty too, there would be
+        two groups: the data of the first is still on the host that is down.
         """
         found = self.founding(process_id)
         for other, is_empty in empty.items():
             found.heard(messages.ProbeReply(other, f"r-{other}", is_empty, "r1"))
         self.assertEqual(found.first_membership() is not None, founds, name)
 
-    def test_answer_to_the_replica_before_is_not_counted(self) -> None:
-        """All were empty, the group began, and then the founder lost its disk.
+    def test_answer_to_an_earlier_replica_is_not_counted(self) -> None:
+        """All were empty, a host bootstrapped the group, and then it lost its disk.
 
-        An answer to its first question arrives late and says "empty".
+        An answer to a probe of its former replica arrives late and says "empty". If it
+        counted, the host would bootstrap a second group.
         """
         found = self.founding(replica_id="r2")
         for other in "bc":
             found.heard(messages.ProbeReply(other, f"r-{other}", True, "r1"))
         self.assertIsNone(found.first_membership())
 
-    def test_group_once_heard_of_stays(self) -> None:
+    def test_existing_group_is_remembered(self) -> None:
         found = self.founding()
         found.heard(messages.ProbeReply("b", "r-b", False, "r1"))
         for other in "bc":
--- a/tests/test_state_sessions.py
+++ b/tests/test_state_sessions.py
@@ -1,4 +1,4 @@
-"""Client sessions: one effect and one answer, whatever is sent again."""
+"""Client sessions: a command sent twice has one effect and one answer."""
 
 import unittest
 
@@ -71,7 +71,7 @@
         return total
 
     def test_command_sent_again_has_one_effect_and_the_first_answer(self) -> None:
-        """An answer is lost; the client sends again, and others come in between."""
+        """An answer is lost; the client retries after other commands were applied."""
         session = self.open()
         self.assertEqual(self.add(session, 1), 1)
         self.assertEqual(self.add(session, 2), 2)
@@ -79,17 +79,17 @@
         self.assertEqual(self.total(), 2)
 
     def test_late_copy_of_an_answered_command_has_no_effect(self) -> None:
-        """The client has its answer and says so; then a copy arrives late."""
+        """The client has acknowledged the answer, and a copy arrives late."""
         session = self.open()
         self.add(session, 1)
         self.add(session, 2, lowest=2)
         self.assertIsNone(self.add(session, 1))
         self.assertEqual(self.total(), 2)
 
-    def test_command_in_an_ended_session_has_no_effect(self) -> None:
-        """A session went idle for long, and its client sends a command again.
+    def test_command_in_an_expired_session_has_no_effect(self) -> None:
+        """A session has expired, and its client sends a command again.
 
-        Whether it was applied is not known any more, so it must not be now.
+        There is no record of whether it was applied, so it must not be applied now.
         """
         session = self.open()
         self.add(session, 1)
@@ -99,12 +99,12 @@
         self.assertEqual(self.add(other, 1, client_id="d"), 2)
 
     def test_session_id_given_twice_is_not_shared(self) -> None:
-        """A restored group gives a session's id again, to another client."""
+        """A restored group gives the id of a session again, to another client."""
         session = self.open("new")
         self.assertIsNone(self.add(session, 1, client_id="old"))
         self.assertEqual(self.total(), 0)
 
-    def test_table_is_bounded_and_keeps_who_is_in_use(self) -> None:
+    def test_table_is_bounded_and_keeps_sessions_in_use(self) -> None:
         used = self.open("used")
         for i in range(sessions.MAX_SESSIONS + 50):
             self.open(f"c{i}")
@@ -154,7 +154,7 @@
 
 
 class Restore(unittest.TestCase):
-    """A back-up is restored; what must only rise does not fall."""
+    """A backup is restored, and monotonic numbers do not fall."""
 
     def state(self, fencing_number: int, note: str) -> machine.State:
         state = machine.State({"test.fenced": Fenced(fencing_number, note)})
@@ -169,10 +169,10 @@
     def test_fencing_number_does_not_fall(
         self, saved: int, current: int | None, expected: int
     ) -> None:
-        """The group gave out numbers after the back-up was made.
+        """The group gave out fencing numbers after the backup was made.
 
-        Upstreams remember the highest. From lower ones on, they would refuse every
-        order, and two controllers could hold the same number.
+        Upstreams remember the highest. If the group continued from a lower one, they
+        would refuse every order, and two controllers could hold the same number.
         """
         state = machine.State()
         if current is not None:
@@ -185,7 +185,7 @@
         self.assertEqual((section.fencing_number, section.note), (expected, "saved"))
 
     def test_number_of_a_section_that_the_backup_lacks_does_not_fall(self) -> None:
-        """The back-up is from before the first fencing number was given."""
+        """The backup was made before the first fencing number was given."""
         state = self.state(9, "current")
         context = machine.Context(1, 1.0)
         command = commands.RestoreState(self.saved(machine.State()))
@@ -193,7 +193,7 @@
         section = state.sections["test.fenced"]
         self.assertEqual((section.fencing_number, section.note), (9, ""))
 
-    def test_sessions_stay_those_of_today(self) -> None:
+    def test_current_sessions_are_kept(self) -> None:
         state = self.state(9, "current")
         data = self.saved(self.state(5, "saved"))
         context = machine.Context(1, 1.0)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -20,7 +20,7 @@
 
 @codec.register("test.unheard")
 @attrs.frozen
-class Unheard:
+class Unhandled:
     number: int = 0
 
 
@@ -50,13 +50,13 @@
 
 class TransportCase(unittest.TestCase):
     def setUp(self):
-        self.heard = []
+        self.received = []
         self.receiver = make_transport("b")
         self.addCleanup(self.receiver.stop)
-        self.receiver.on(Ping, self.hear)
+        self.receiver.on(Ping, self.receive)
 
-    def hear(self, sender, message):
-        self.heard.append(message.number)
+    def receive(self, sender, message):
+        self.received.append(message.number)
         self.receiver.answer(sender, Ping(message.number + 1))
 
     @tools.params(
@@ -65,7 +65,7 @@
         ("unknown type", envelope(body=b"\x92\xa1x\x80"), "message-unknown-type"),
         (
             "no handler",
-            envelope(body=codec.encode(Unheard())),
+            envelope(body=codec.encode(Unhandled())),
             "message-unknown-type",
         ),
         ("damaged body", envelope(body=b"\xc1"), "message-damaged"),
@@ -81,10 +81,10 @@
             msgpack.packb([99, "main", "a", "127.0.0.1:1", 5, b"", 0, 0, "more"]),
             "message-newer-version",
         ),
-        ("earlier life", envelope(incarnation=4), "message-stale-sender"),
+        ("earlier incarnation", envelope(incarnation=4), "message-stale-sender"),
     )
     def test_bad_message_is_counted_and_dropped(self, name, data, reason):
-        """A peer of another release, group or life speaks; the next message works."""
+        """A peer of another release, group or incarnation sends; the next one works."""
         with zmq.Context() as context, context.socket(zmq.DEALER) as dealer:
             dealer.connect(f"tcp://{self.receiver.address}")
             dealer.send(envelope())
@@ -92,21 +92,21 @@
             dealer.send(data)
             dealer.send(envelope(body=codec.encode(Ping(9))))
             with eventlet.Timeout(10):
-                while 9 not in self.heard:
+                while 9 not in self.received:
                     eventlet.sleep(0.01)
-        self.assertEqual(self.heard, [1, 9])
+        self.assertEqual(self.received, [1, 9])
         self.assertEqual(drops(reason), before + 1)
 
-    def test_handler_that_fails(self):
-        """A process hears nothing more, no answers to its own calls either.
+    def test_receiving_continues_after_a_handler_failed(self):
+        """A process receives nothing any longer, not even answers to its own calls.
 
-        An unexpected error comes up while it takes one message. It ended the task that
-        receives all of them; the process stayed, deaf, until it was started again.
+        A handler raises an unexpected error. If it ended the receiving task, the
+        process would stay up without receiving any message until it was restarted.
         """
 
         def fail(sender, message):
-            self.receiver.on(Ping, self.hear)
-            raise KeyError("a fault of this program")
+            self.receiver.on(Ping, self.receive)
+            raise KeyError("a fault in the handler")
 
         self.receiver.on(Ping, fail)
         sender = make_transport("a")
@@ -114,7 +114,7 @@
         sender.send(self.receiver.address, Ping(1))
         answer = sender.call(self.receiver.address, Ping(2), 5.0)
         self.assertTrue(answer.is_ok())
-        self.assertEqual(self.heard, [2])
+        self.assertEqual(self.received, [2])
 
     def test_call_gets_its_own_answer(self):
         sender = make_transport("a")
@@ -126,18 +126,19 @@
         answers = [task.wait().unwrap().number for task in tasks]
         self.assertEqual(answers, [n + 1 for n in range(20)])
 
-    def test_late_answer_to_an_earlier_life_is_not_taken(self):
-        """A process calls, restarts and calls again; the first answer comes late.
+    def test_late_answer_to_an_earlier_incarnation_is_ignored(self):
+        """A process calls, restarts and calls again; the first answer arrives late.
 
-        If call numbers began anew, the second call would end with the first's answer.
+        If call ids started from the same number, the second call would return the
+        answer to the first.
         """
-        heard = []
-        self.receiver.on(Unheard, lambda sender, message: heard.append(sender))
+        received = []
+        self.receiver.on(Unhandled, lambda sender, message: received.append(sender))
         for _ in range(2):
-            life = make_transport("a")
-            life.call(self.receiver.address, Unheard(), 0.2)
-            life.stop()
-        self.assertEqual(len({sender.call_id for sender in heard}), 2)
+            process = make_transport("a")
+            process.call(self.receiver.address, Unhandled(), 0.2)
+            process.stop()
+        self.assertEqual(len({sender.call_id for sender in received}), 2)
 
     def test_call_to_absent_peer_ends_in_time_and_never_hangs(self):
         """The peer's host is gone: calls end at their timeout, sends don't block."""
@@ -151,10 +152,11 @@
         self.assertTrue(answer.is_err())
 
     def test_connection_without_an_answer_is_given_up(self):
-        """The peer's port takes a connection, and nobody answers on it.
+        """The peer's port accepts a connection, but nothing answers on it.
 
-        So does a link that goes silent as the connection is made. The process that is
-        there a little later must be heard soon, not after ZeroMQ's own 30 s.
+        The same happens if a link fails while the connection is made. A process that
+        starts at this address a little later must be reached soon, not after ZeroMQ's
+        default of 30 s.
         """
         port = helpers.free_port()
         mute = eventlet.listen(("127.0.0.1", port))
@@ -166,13 +168,13 @@
         mute.close()
         receiver = make_transport("c", address=f"127.0.0.1:{port}")
         self.addCleanup(receiver.stop)
-        receiver.on(Ping, self.hear)
+        receiver.on(Ping, self.receive)
         with eventlet.Timeout(6.0):
-            while not self.heard:
+            while not self.received:
                 sender.send(f"127.0.0.1:{port}", Ping(2))
                 eventlet.sleep(0.05)
 
-    def test_wrong_curve_key_is_refused_and_right_one_heard(self):
+    def test_wrong_curve_key_is_refused_and_right_one_accepted(self):
         """A process with a key that is not listed gets no message through."""
         public, secret = zmq.curve_keypair()
         other_public, other_secret = zmq.curve_keypair()
@@ -181,14 +183,17 @@
         receiver = make_transport("c", keys, address)
         self.addCleanup(receiver.stop)
         receiver.on(Ping, lambda sender, message: receiver.answer(sender, message))
-        stranger_keys = transport.CurveKeys(
+        unlisted_keys = transport.CurveKeys(
             other_public, other_secret, {address: public}
         )
-        stranger = make_transport("d", stranger_keys)
-        self.addCleanup(stranger.stop)
-        self.assertTrue(stranger.call(address, Ping(1), 1.0).is_err())
+        unlisted = make_transport("d", unlisted_keys)
+        self.addCleanup(unlisted.stop)
+        self.assertTrue(unlisted.call(address, Ping(1), 1.0).is_err())
         before = drops("peer-unreachable")
-        self.assertFalse(stranger.send("127.0.0.1:1", Ping(1)), "no key for it")
+        self.assertFalse(
+            unlisted.send("127.0.0.1:1", Ping(1)),
+            "sent to a peer whose key is not known",
+        )
         self.assertEqual(drops("peer-unreachable"), before + 1)
         self.assertEqual(receiver.call(address, Ping(3), 10).unwrap().number, 3)
 
@@ -196,9 +201,9 @@
 class CodecCase(unittest.TestCase):
     def test_neighbouring_release_is_understood(self):
         """A newer sender adds a field, an older one lacks a field with a default."""
-        self.assertEqual(codec.decode(b"\x92\xactest.unheard\x80"), Unheard(0))
+        self.assertEqual(codec.decode(b"\x92\xactest.unheard\x80"), Unhandled(0))
         newer = b"\x92\xactest.unheard\x82\xa6number\x05\xa1z\x01"
-        self.assertEqual(codec.decode(newer), Unheard(5))
+        self.assertEqual(codec.decode(newer), Unhandled(5))
 
     @tools.params(
         ("wrong type", b"\x92\xa9test.ping\x81\xa6number\xa1x"),
