--- a/bilberrydrum/state/client_requests.py
+++ b/bilberrydrum/state/client_requests.py
@@ -21,7 +21,7 @@
 
 
 class LocalReplica(Protocol):
-    """What the tasks of this process use of its replica."""
+    """The part of this process's replica that its other tasks use."""
 
     @property
     def node(self) -> node.Node:
@@ -41,7 +41,7 @@
         """Have the state encoded and passed to `ClientRequests.send_snapshot`."""
 
     def has_lease(self) -> bool:
-        """Tell whether this replica holds the leader lease now."""
+        """Return whether this replica holds the leader lease now."""
 
     def status(self) -> queries.Status:
         """Return the status of the group."""
@@ -243,6 +243,6 @@
             self._redirect(read.address, read.client_id, [read.number], is_query=True)
 
     def redirect_reads(self) -> None:
-        """Redirect the clients of all reads: this replica leads no longer."""
+        """Redirect the clients of all reads: this replica no longer leads."""
         for read in self._reads.pop_all():
             self._redirect(read.address, read.client_id, [read.number], is_query=True)
--- a/bilberrydrum/state/leader_calls.py
+++ b/bilberrydrum/state/leader_calls.py
@@ -69,7 +69,7 @@
             An idempotent message, registered with the codec.
         timeout : float
             Seconds after which the call fails.
-        try_seconds : float
+        attempt_seconds : float
             Seconds for one replica to answer.
         request_id : str
             Id of the request that waits for the answer, written to the log if the call
--- a/bilberrydrum/state/membership_task.py
+++ b/bilberrydrum/state/membership_task.py
@@ -30,7 +30,7 @@
 
 
 class LocalReplica(Protocol):
-    """What this module uses of the replica in this process."""
+    """The part of this process's replica that this module uses."""
 
     @property
     def node(self) -> node.Node:
