--- a/bilberrydrum/relay/model.py
+++ b/bilberrydrum/relay/model.py
@@ -28,7 +28,7 @@
     body: bytes
     # When the caller stops waiting, in seconds of `clock.now`.
     deadline: float
-    is_client_gone: Callable[[], bool] = request_model.never
+    is_client_gone: Callable[[], bool] = request_model.never_gone
     # The sender allows it to run more than once, even if its route is not idempotent.
     may_run_again: bool = False
     # Called immediately before each send; returns why the request must not be sent any
--- a/bilberrydrum/requests/attempts.py
+++ b/bilberrydrum/requests/attempts.py
@@ -92,7 +92,7 @@
     if not outgoing.is_idempotent:
         # A request that must not run twice is not cancelled: its result is kept for the
         # client's retry.
-        is_client_gone = model.never
+        is_client_gone = model.never_gone
     try:
         with means.clients.ending_with_client(is_client_gone):
             yield
