--- a/bilberrydrum/state/joining.py
+++ b/bilberrydrum/state/joining.py
@@ -8,7 +8,7 @@
 from typing import Any, Final, Protocol
 
 from bilberrydrum import clock, interfaces, options, transport
-from bilberrydrum.state import bootstrap, events, messages, node, stewardship
+from bilberrydrum.state import bootstrap, events, membership_task, messages, node
 
 # A replica without contact to a leader for this long asks whether it was removed. This
 # is longer than any election.
@@ -44,12 +44,12 @@
         owner: Owner,
         opts: options.Options,
         carrier: transport.Transport,
-        steward: stewardship.StewardTask,
+        membership: membership_task.MembershipTask,
     ) -> None:
         self._owner = owner
         self._options = opts
         self._carrier = carrier
-        self._steward = steward
+        self._membership_task = membership
         self._bootstrap = bootstrap.Bootstrap(
             opts.process_id,
             owner.node.replica_id,
@@ -77,7 +77,7 @@
             if not state.members.replicas:
                 self._bootstrap_or_wait()
             elif isinstance(state.role, node.Leader):
-                self._steward.step()
+                self._membership_task.step()
             elif clock.now() - state.leader_contact_at > _NO_LEADER_SECONDS:
                 self._probe_all(is_empty=False)
             clock.sleep(bootstrap.PROBE_SECONDS)
@@ -111,7 +111,7 @@
         )
         self._carrier.answer(sender, reply)
         if probe.is_empty and isinstance(state.role, node.Leader):
-            self._steward.joins(probe, sender.address)
+            self._membership_task.record_join_request(probe, sender.address)
 
     def _has_removed(self, probe: messages.Probe) -> bool:
         """Return whether this leader's group has removed the requesting replica."""
--- a/bilberrydrum/state/replica.py
+++ b/bilberrydrum/state/replica.py
@@ -30,20 +30,20 @@
     applier,
     applying,
     client,
+    client_requests,
     core,
     disk,
     events,
     files,
-    intake,
     joining,
     log,
     machine,
     membership,
+    membership_task,
     messages,
     node,
     queries,
     serving,
-    stewardship,
     storage,
 )
 
@@ -108,15 +108,19 @@
         if data:
             self._applier.restore(data)
         self._core = core.Core(self._settings, recovered, random.Random(), clock.now())
-        self._steward = stewardship.StewardTask(self, self._carrier, self._options)
+        self._steward = membership_task.MembershipTask(
+            self, self._carrier, self._options
+        )
         self._joining = joining.Joining(
             self, self._options, self._carrier, self._steward
         )
-        self._intake = intake.Intake(self, self._carrier, self._applier, self._steward)
+        self._client_requests = client_requests.ClientRequests(
+            self, self._carrier, self._applier, self._steward
+        )
         self._apply = applying.ApplyTask(
             self,
             self._applier,
-            self._intake,
+            self._client_requests,
             self._store,
             self._disk,
             self._options.state.snapshot_entries,
@@ -125,7 +129,7 @@
             self._options.state.handover_bytes,
         )
         self._listen()
-        self._intake.listen()
+        self._client_requests.listen()
         self._joining.listen()
         self._failure = ""
         for task in (self._run, self._apply.run, self._joining.run, self._disk.run):
@@ -137,7 +141,7 @@
             # Not started, or already stopped by `_guard` with all its tasks.
             return
         self._carry_out(self._core.step(clock.now(), events.TransferLeadership()))
-        self._intake.waiters.outbox.flush()
+        self._client_requests.waiters.outbox.flush()
         clock.sleep(_HANDOVER_SECONDS)
         self._failure = "stopped"
         *others, disk_task = self._tasks
@@ -216,7 +220,9 @@
         began = clock.now()
         done = eventlet.event.Event()
         waiter = serving.Waiter(0, command, done=done.send)
-        self._intake.take([(log.KIND_LOCAL, codec.encode(command))], [waiter])
+        self._client_requests.propose(
+            [(log.KIND_LOCAL, codec.encode(command))], [waiter]
+        )
         with eventlet.Timeout(timeout, False):
             applied = done.wait()
             if applied is None:
@@ -256,7 +262,7 @@
 
     def status(self) -> queries.Status:
         """Return the state of the group as seen by this replica."""
-        return stewardship.status(
+        return membership_task.status(
             self._core,
             self._applier.index,
             self._steward.pending_change,
@@ -273,7 +279,7 @@
         """Why the replica has stopped; empty if it is running."""
         return self._failure
 
-    def save(self, request: serving.Save) -> None:
+    def save(self, request: serving.SnapshotQuery) -> None:
         """Queue a request to encode the state and answer the query for it."""
         self._apply.put(request)
 
@@ -301,8 +307,8 @@
             if now >= next_tick:
                 next_tick = now + interval
                 self._carry_out(self._core.step(now, events.Tick()))
-                self._intake.expire_reads(now)
-            self._intake.serve_reads()
+                self._client_requests.expire_reads(now)
+            self._client_requests.serve_reads()
             eventlet.sleep(0)
 
     def _carry_out(self, effects: list[Any]) -> None:
@@ -328,7 +334,7 @@
             message_type="state:role", term=effect.term, is_leader=effect.is_leader
         )
         if not effect.is_leader:
-            self._intake.send_reads_on()
+            self._client_requests.redirect_reads()
         for callback in self._role_watchers:
             callback()
 
@@ -338,13 +344,13 @@
         if change is not None:
             self._on_change_result(effect, change)
         else:
-            self._intake.placed(effect)
+            self._client_requests.handle_proposal_result(effect)
 
     def _on_change_result(self, effect: Any, change: eventlet.event.Event) -> None:
         if isinstance(effect, events.Accepted):
             # The result is reported once the entry is applied, as for a command.
             waiter = serving.Waiter(effect.term, done=_change_callback(change))
-            self._intake.waiters.add(effect.first_index, waiter)
+            self._client_requests.waiters.add(effect.first_index, waiter)
         elif isinstance(effect, events.ChangeRefused):
             change.send(effect.detail)
         else:
@@ -435,10 +441,10 @@
 
 def _change_callback(
     change_done: eventlet.event.Event,
-) -> Callable[[serving.End], None]:
+) -> Callable[[serving.EntryOutcome], None]:
     """Return a callback that reports the outcome of a change's entry."""
 
-    def on_end(outcome: serving.End) -> None:
+    def on_end(outcome: serving.EntryOutcome) -> None:
         is_applied = isinstance(outcome, applier.Applied)
         change_done.send(None if is_applied else "another leader took over")
 
--- a/simulation/__main__.py
+++ b/simulation/__main__.py
@@ -44,7 +44,7 @@
     "batches in their order": attrs.evolve(_FULL, has_start_by=False),
     "no engines of its own": attrs.evolve(_FULL, has_shares=False),
     "oldest text scored first": attrs.evolve(_FULL, has_scoring_order=False),
-    "no place left free": attrs.evolve(_FULL, n_free_places=0),
+    "no place left free": attrs.evolve(_FULL, n_reserved_slots=0),
 }
 
 
--- a/tests/test_state_replica.py
+++ b/tests/test_state_replica.py
@@ -127,7 +127,7 @@
         with mock.patch.object(made._apply, "put", lose_commits):
             asked = eventlet.spawn(made.propose, state_process.Add("k"))
             with eventlet.Timeout(10.0):
-                while not len(made._intake.waiters):
+                while not len(made._client_requests.waiters):
                     clock.sleep(0.01)
         index = made.node.log.last_index
         header = snapshot.Header(index, made.node.term, 1.0, made.node.members)
@@ -226,5 +226,5 @@
         one.node.snapshot_bytes = n_bytes
         if not is_heard:
             one.now = one.node.now = one.now + 5.0
-        self.make(one).hand_over()
+        self.make(one).transfer_leadership()
         self.assertEqual(isinstance(one.node.role, node.Leader), leads, name)
