--- a/simulation/__init__.py
+++ b/simulation/__init__.py
@@ -1,6 +1,6 @@
-"""A discrete-event model of trainers, engines, a scoring service and look-ups.
+"""A discrete-event simulation of trainers, engines, a scoring service and look-ups.
 
-It drives the decision modules of `batches` and `relay` themselves, in virtual time, so
-that a choice can be compared on hundreds of seeds in seconds. It has no network, no
-disks and no faults.
+It runs the decision modules of `batches` and `relay` in virtual time, so that design
+choices can be compared on hundreds of seeds within seconds. It has no network and no
+disks, and its only fault is an outage of all engines.
 """
--- a/simulation/__main__.py
+++ b/simulation/__main__.py
@@ -1,8 +1,9 @@
 """Compare mechanisms on simulated loads, paired by seed: ``python -m simulation``.
 
-Each variant has one mechanism switched off. The figures are of the whole simulation:
-groups that a trainer waits for and that are late, and the time until enough groups of a
-step are whole; differences are against the same seeds with everything on.
+Each variant has one mechanism switched off. Two figures are printed: the number of late
+groups in each step, of those that its trainer waits for, and the time until enough
+groups of a step are complete. Differences in brackets are against the same seeds with
+every mechanism on.
 """
 
 import argparse
@@ -30,10 +31,10 @@
     "2 trainers, 4 engines": load.Load(_SMALL, n_engines=4),
     "2 trainers, 3 engines, 1 scorer": load.Load(_SMALL, n_engines=3, n_upstreams=1),
     "4 trainers, 23 engines": load.Load(
-        _LARGE, n_engines=23, n_places=8, n_upstreams=8
+        _LARGE, n_engines=23, engine_capacity=8, n_upstreams=8
     ),
     "4 trainers, 12 engines": load.Load(
-        _LARGE, n_engines=12, n_places=8, n_upstreams=4
+        _LARGE, n_engines=12, engine_capacity=8, n_upstreams=4
     ),
 }
 _FULL: Final = load.Policy()
@@ -44,7 +45,7 @@
     "batches in their order": attrs.evolve(_FULL, has_start_by=False),
     "no engines of its own": attrs.evolve(_FULL, has_shares=False),
     "oldest text scored first": attrs.evolve(_FULL, has_scoring_order=False),
-    "no place left free": attrs.evolve(_FULL, n_free_places=0),
+    "no place left free": attrs.evolve(_FULL, n_reserved_slots=0),
 }
 
 
@@ -54,12 +55,12 @@
     parser.add_argument("--seeds", type=int, default=10)
     parser.add_argument("--steps", type=int, default=10, help="steps of each trainer")
     options = parser.parse_args()
-    for load_name, given in LOADS_BY_NAME.items():
+    for load_name, workload in LOADS_BY_NAME.items():
         first: list[tuple[float, float]] = []
         for name, policy in VARIANTS_BY_NAME.items():
             print(f"{load_name}: {name}", end="\r", file=sys.stderr, flush=True)
             figures = [
-                _figures(given, policy, seed, options.steps)
+                _figures(workload, policy, seed, options.steps)
                 for seed in range(options.seeds)
             ]
             first = first or figures
@@ -68,11 +69,11 @@
 
 
 def _figures(
-    given: load.Load, policy: load.Policy, seed: int, n_steps: int
+    workload: load.Load, policy: load.Policy, seed: int, n_steps: int
 ) -> tuple[float, float]:
-    """Return late groups a step, and the mean time of a step."""
-    seen = rollouts.Simulation(given, policy, seed).run(n_steps)
-    n_all = n_steps * len(given.trainers)
+    """Return the late groups per step, and the mean seconds of a step."""
+    seen = rollouts.Simulation(workload, policy, seed).run(n_steps)
+    n_all = n_steps * len(workload.trainers)
     return seen.n_late_groups / n_all, statistics.fmean(seen.step_seconds or [0.0])
 
 
--- a/simulation/events.py
+++ b/simulation/events.py
@@ -1,4 +1,4 @@
-"""Virtual time: calls that are made in the order of their moments."""
+"""An event loop in virtual time."""
 
 import heapq
 import itertools
@@ -6,21 +6,21 @@
 
 
 class Loop:
-    """The clock and what is to happen."""
+    """A virtual clock and the calls that are scheduled on it."""
 
     def __init__(self) -> None:
         self.now = 0.0
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
-        # Calls of one moment are made in the order in which they were asked for.
+        # Calls at the same time run in the order in which they were scheduled.
         self._numbers = itertools.count()
 
-    def after(self, seconds: float, call: Callable[[], None]) -> None:
-        """Make `call` in `seconds`."""
+    def call_later(self, seconds: float, call: Callable[[], None]) -> None:
+        """Schedule `call` to run after `seconds`."""
         entry = (self.now + seconds, next(self._numbers), call)
         heapq.heappush(self._queue, entry)
 
     def run_until(self, end: float) -> None:
-        """Make all calls that are due before `end`."""
+        """Run all calls that are due before `end`, in seconds."""
         while self._queue and self._queue[0][0] < end:
             self.now, _, call = heapq.heappop(self._queue)
             call()
--- a/simulation/load.py
+++ b/simulation/load.py
@@ -1,4 +1,4 @@
-"""The load that a simulation is given; times in seconds."""
+"""The parameters and results of a simulation; all times are in seconds."""
 
 import attrs
 
@@ -7,85 +7,99 @@
 
 @attrs.frozen
 class Trainer:
-    """One trainer's steps."""
+    """The size of one trainer's steps."""
 
     n_groups: int
     group_size: int
-    # Mean number of events of an item, and the spread of its logarithm.
+    # Mean number of events of an item, and the standard deviation of its logarithm.
     n_events: float = 20.0
     spread: float = 0.84
-    # Some items are so many times as long as the others, up to a multiple of the mean.
+    # Share of items that are longer than the others, and the factor by which they are.
+    # No item has more than `max_events_factor` times the mean number of events.
     long_share: float = 0.08
     long_factor: float = 5.0
-    most_events: float = 7.2
+    max_events_factor: float = 7.2
 
 
 @attrs.frozen
 class Load:
-    """Everything that asks, and everything that answers."""
+    """The trainers, engines, scoring service and gateways of a simulation."""
 
     trainers: tuple[Trainer, ...]
+    # Time from one step of a trainer to its next.
     step_seconds: float = 4.0
+    # Time after which a group of a step counts as late.
     due_seconds: float = 7.5
     # Share of a step's groups that its trainer waits for.
     wanted_share: float = 0.9
-    # A trainer asks for a step once the last but one is over and it has trained on it
-    # for so long; None: steps come at their times, whatever has become of the others.
+    # Time for which a trainer trains on a step. It requests a step when it has trained
+    # on the last but one. If None, steps are requested at fixed times, whether the
+    # earlier ones have finished or not.
     training_seconds: float | None = None
-    # A step is over after this long at the latest.
-    give_up_seconds: float = 12.0
-    # Nothing is generated for so long from a moment on: the processes are down.
+    # Time after which a trainer ends an incomplete step.
+    step_timeout_seconds: float = 12.0
+    # Start and length of an outage, in which no engine generates.
     outage_at: float = 0.0
     outage_seconds: float = 0.0
     n_engines: int = 6
-    n_places: int = 12
-    # Time of one event at an engine that runs one item, and what each further adds.
+    # Number of items that an engine runs at a time.
+    engine_capacity: int = 12
+    # Time of one event at an engine that runs one item, and the time that each further
+    # item adds.
     event_seconds: float = 0.035
-    crowding_seconds: float = 0.00075
-    # The scoring service, which also serves look-ups.
+    extra_item_seconds: float = 0.00075
+    # Upstreams and slots of the scoring service, which also serves look-ups.
     n_upstreams: int = 3
     n_slots: int = 6
     scoring_seconds: float = 0.096
+    # Standard deviation of the logarithm of a request's duration.
     service_spread: float = 0.5
+    # Gateways that send look-ups, each without knowledge of the others' load.
     n_gateways: int = 9
     look_ups_per_second: float = 3.0
     look_up_seconds: float = 0.03
-    # Estimates of an item's events are off by this spread of their logarithm.
+    # Standard deviation of the logarithm of an estimate's error; estimates are of an
+    # item's number of events.
     estimate_spread: float = 0.5
 
 
 @attrs.frozen
 class Policy:
-    """What is compared: a mechanism that is off is not told what it needs."""
+    """The mechanisms to compare.
 
-    # Places of each upstream that scoring requests leave free.
-    n_free_places: int = scoring.RESERVED_SLOTS
-    # Groups that the trainer does not wait for go last.
+    A mechanism is switched off by withholding its input.
+    """
+
+    # Slots of each upstream that scoring requests leave free.
+    n_reserved_slots: int = scoring.RESERVED_SLOTS
+    # Surplus groups, which the trainer does not wait for, go last.
     has_spare_groups: bool = True
-    # Groups that cannot be in time go behind those that can.
+    # Groups that can no longer be complete in time go after those that can.
     has_tiers: bool = True
-    # Late groups of a step go before the trainer's next step.
+    # Late groups of a step go before those of the trainer's next step.
     has_old_steps_first: bool = True
-    # Long items start first; else in the order in which their batches came.
+    # Long items start first; otherwise items start in the order in which their batches
+    # were submitted.
     has_start_by: bool = True
-    # The group that lacks the fewest scores goes first; else the oldest text.
+    # The group that lacks the fewest scores is scored first; otherwise the oldest text.
     has_scoring_order: bool = True
-    # Each model has engines of its own.
+    # Each engine is assigned to one model, and serves others only if no other engine
+    # can; otherwise all engines are assigned to all models.
     has_shares: bool = True
 
 
 @attrs.define
 class Figures:
-    """What a simulation has shown; times in seconds."""
+    """The results of a simulation."""
 
-    # From a look-up's arrival to its answer.
+    # Times from a look-up's arrival to its answer.
     look_up_seconds: list[float] = attrs.field(factory=list)
-    # From a text's last event to its score.
+    # Times from a text's last event to its score.
     scoring_seconds: list[float] = attrs.field(factory=list)
-    # From a step's arrival to when enough of its groups were whole.
+    # Times from a step's arrival until enough of its groups were complete.
     step_seconds: list[float] = attrs.field(factory=list)
     n_late_groups: int = 0
-    # What trainers got of the groups that they wait for, each of which counts 1 in time
-    # and less when it is late.
+    # Total value of the groups that trainers waited for and received: 1 for each group
+    # in time, and `rollouts.LATE_SHARE` for each late one.
     earned: float = 0.0
     n_steps_begun: int = 0
--- a/simulation/rollouts.py
+++ b/simulation/rollouts.py
@@ -1,4 +1,4 @@
-"""Trainers' steps on engines, their scoring requests, and look-ups beside them."""
+"""Simulate trainers' steps on engines, their scoring requests, and other look-ups."""
 
 import functools
 import math
@@ -18,28 +18,28 @@
     group_key: tuple[str, str]
     n_events: int
     n_expected: int
-    n_made: int = 0
+    n_generated: int = 0
     began_at: float = 0.0
     ended_at: float = 0.0
-    is_finished: bool = False
+    is_scored: bool = False
 
 
-# What a late group is worth, as a share of one that is in time.
+# Value of a late group, as a share of the value of a group in time.
 LATE_SHARE: Final = 0.4
 
 
 @attrs.define(eq=False)
 class _Step:
-    came_at: float
+    arrived_at: float
     model: str
     items: list[_Item]
     n_wanted: int
     spare_groups: frozenset[tuple[str, str]]
     batch_id: str
-    # Ends the step; set where trainers wait for their steps.
+    # Ends the step; set only if trainers wait for their steps.
     end: Callable[[], None] | None = None
-    # Moments at which groups were whole, in their order.
-    whole_at: list[float] = attrs.field(factory=list)
+    # Times at which groups became complete, in ascending order.
+    completed_at: list[float] = attrs.field(factory=list)
     is_over: bool = False
 
     def group(self, key: tuple[str, str]) -> list[_Item]:
@@ -47,59 +47,61 @@
 
 
 class Simulation:
-    """One run of a load under a policy."""
+    """One simulated run of a load under a policy."""
 
-    def __init__(self, given: load.Load, policy: load.Policy, seed: int) -> None:
-        self._load = given
+    def __init__(self, workload: load.Load, policy: load.Policy, seed: int) -> None:
+        self._load = workload
         self._policy = policy
         self._rng = np.random.default_rng(seed)
         self._loop = events.Loop()
-        self._service = service.Service(self._loop, given, self._rng)
+        self._service = service.Service(self._loop, workload, self._rng)
         self._leader = self._service.balancer(0)
         self._gateways = [
-            self._service.balancer(n) for n in range(1, given.n_gateways + 1)
+            self._service.balancer(n) for n in range(1, workload.n_gateways + 1)
         ]
-        self._running: list[list[_Item]] = [[] for _ in range(given.n_engines)]
-        # Engines whose next event is due; each has one such moment at a time.
-        self._going: set[int] = set()
+        self._running: list[list[_Item]] = [[] for _ in range(workload.n_engines)]
+        # Engines whose next event is scheduled. An engine must have only one such call
+        # at a time; otherwise it would generate several times as fast.
+        self._scheduled: set[int] = set()
         self._waiting: dict[tuple[str, str], tuple[_Step, _Item]] = {}
         self._unscored: dict[tuple[str, str], tuple[_Step, _Item]] = {}
         self._steps_by_batch: dict[str, _Step] = {}
         self._n_scoring = 0
         self._n_steps = 0
-        self._is_out = False
+        self._is_down = False
         self._pace = urgency.Pace()
         self.figures = load.Figures()
 
     def run(self, n_steps: int) -> load.Figures:
-        """Run so many steps of each trainer, and return what was seen."""
+        """Simulate `n_steps` steps of each trainer and return the results."""
         self._n_steps = n_steps
-        for number in range(len(self._load.trainers)):
+        for trainer_index in range(len(self._load.trainers)):
             is_closed = self._load.training_seconds is not None
-            # The first two steps are asked for without waiting for one before.
+            # A trainer that waits for its steps requests the first two at fixed times,
+            # and each later one after the last but one has finished.
             for step in range(2 if is_closed else n_steps):
-                self._plan_step(number, step)
+                self._plan_step(trainer_index, step)
         if self._load.outage_seconds:
-            self._loop.after(self._load.outage_at, self._stop_engines)
-        self._loop.after(0.0, self._look_up)
+            self._loop.call_later(self._load.outage_at, self._stop_engines)
+        self._loop.call_later(0.0, self._look_up)
         end = n_steps * self._load.step_seconds
         self._loop.run_until(end + 2 * self._load.due_seconds)
         return self.figures
 
     # Steps
 
-    def _plan_step(self, number: int, step: int) -> None:
-        """Have a step asked for at its time, or now if that is past."""
+    def _plan_step(self, trainer_index: int, step: int) -> None:
+        """Schedule a step at its time, or immediately if that time has passed."""
         due = step * self._load.step_seconds
         is_in_time = self._loop.now < self._n_steps * self._load.step_seconds
         if step < self._n_steps and is_in_time:
-            begin = functools.partial(self._begin_step, number, step)
-            self._loop.after(max(due - self._loop.now, 0.0), begin)
+            begin = functools.partial(self._begin_step, trainer_index, step)
+            self._loop.call_later(max(due - self._loop.now, 0.0), begin)
 
-    def _begin_step(self, number: int, step: int) -> None:
-        trainer = self._load.trainers[number]
+    def _begin_step(self, trainer_index: int, step: int) -> None:
+        trainer = self._load.trainers[trainer_index]
         self.figures.n_steps_begun += 1
-        batch_id = f"m{number}-{step}"
+        batch_id = f"m{trainer_index}-{step}"
         items = [
             self._make_item(batch_id, group, n, trainer)
             for group in range(trainer.n_groups)
@@ -112,25 +114,27 @@
         n_wanted = math.ceil(self._load.wanted_share * trainer.n_groups)
         n_first = n_wanted if self._policy.has_spare_groups else 0
         spare = urgency.spare_groups(longest, frozenset(), n_first)
-        begun = _Step(self._loop.now, f"m{number}", items, n_wanted, spare, batch_id)
+        begun = _Step(
+            self._loop.now, f"m{trainer_index}", items, n_wanted, spare, batch_id
+        )
         self._steps_by_batch[batch_id] = begun
         for each in items:
             self._waiting[each.key] = (begun, each)
         check = functools.partial(self._count_late, begun)
-        self._loop.after(self._load.due_seconds, check)
+        self._loop.call_later(self._load.due_seconds, check)
         if self._load.training_seconds is not None:
-            give_up = functools.partial(self._end_step, begun, number, step)
-            self._loop.after(self._load.give_up_seconds, give_up)
+            give_up = functools.partial(self._end_step, begun, trainer_index, step)
+            self._loop.call_later(self._load.step_timeout_seconds, give_up)
             begun.end = give_up
         self._assign()
 
-    def _end_step(self, step: _Step, number: int, index: int) -> None:
-        """Let the trainer read what is there, train and ask for a later step."""
+    def _end_step(self, step: _Step, trainer_index: int, index: int) -> None:
+        """End a step: count its groups, drop its open items, schedule a later step."""
         if step.is_over:
             return
         step.is_over = True
-        due = step.came_at + self._load.due_seconds
-        for at in step.whole_at[: step.n_wanted]:
+        due = step.arrived_at + self._load.due_seconds
+        for at in step.completed_at[: step.n_wanted]:
             self.figures.earned += 1.0 if at <= due else LATE_SHARE
         for item in step.items:
             self._waiting.pop(item.key, None)
@@ -139,8 +143,8 @@
             running[:] = [each for each in running if each.key[0] != step.batch_id]
         training = self._load.training_seconds
         assert training is not None
-        plan = functools.partial(self._plan_step, number, index + 2)
-        self._loop.after(training, plan)
+        plan = functools.partial(self._plan_step, trainer_index, index + 2)
+        self._loop.call_later(training, plan)
 
     def _make_item(
         self, batch_id: str, group: int, n: int, trainer: load.Trainer
@@ -148,7 +152,9 @@
         drawn = service.lognormal(self._rng, trainer.n_events, trainer.spread)
         if self._rng.random() < trainer.long_share:
             drawn *= trainer.long_factor
-        n_events = max(1, round(min(drawn, trainer.n_events * trainer.most_events)))
+        n_events = max(
+            1, round(min(drawn, trainer.n_events * trainer.max_events_factor))
+        )
         error = float(self._rng.normal(0.0, self._load.estimate_spread))
         return _Item(
             (batch_id, f"{group}-{n}"),
@@ -158,48 +164,48 @@
         )
 
     def _count_late(self, step: _Step) -> None:
-        self.figures.n_late_groups += max(step.n_wanted - len(step.whole_at), 0)
+        self.figures.n_late_groups += max(step.n_wanted - len(step.completed_at), 0)
 
-    # Engines: each belongs to one model, and makes an event of all its items at a time.
+    # Engines, each of which generates one event of all its items at a time
 
     def _stop_engines(self) -> None:
-        """Everything that runs is broken off; what was made of it stands."""
-        self._is_out = True
+        """Cancel all running items, which keep the events generated so far."""
+        self._is_down = True
         for running in self._running:
             for item in running:
                 step = self._steps_by_batch[item.key[0]]
                 self._waiting[item.key] = (step, item)
             running.clear()
-        self._loop.after(self._load.outage_seconds, self._start_engines)
+        self._loop.call_later(self._load.outage_seconds, self._start_engines)
 
     def _start_engines(self) -> None:
-        self._is_out = False
+        self._is_down = False
         self._assign()
 
     def _assign(self) -> None:
-        if self._is_out:
+        if self._is_down:
             return
         now = self._loop.now
         items = [self._waiting_item(*each) for each in self._waiting.values()]
-        places = [self._place(n) for n in range(self._load.n_engines)]
-        for each in scheduling.assign(items, places, now):
+        capacities = [self._capacity_of(n) for n in range(self._load.n_engines)]
+        for each in scheduling.assign(items, capacities, now):
             _, item = self._waiting.pop(each.key)
             engine = int(each.engine_id)
             item.began_at = now
             self._running[engine].append(item)
-            self._go_on(engine)
+            self._schedule_events(engine)
 
     def _waiting_item(self, step: _Step, item: _Item) -> scheduling.WaitingItem:
         policy = self._policy
-        seconds = self._pace.remaining_seconds(item.n_expected, item.n_made)
+        seconds = self._pace.remaining_seconds(item.n_expected, item.n_generated)
         seconds += self._pace.scoring_seconds
-        done_by = step.came_at + self._load.due_seconds - urgency.READ_SECONDS
+        done_by = step.arrived_at + self._load.due_seconds - urgency.READ_SECONDS
         order = done_by if policy.has_old_steps_first else 0.0
         late_at = done_by - seconds * urgency.MIN_TIME_SHARE
         return scheduling.WaitingItem(
             item.key,
             item.group_key,
-            done_by - seconds if policy.has_start_by else step.came_at,
+            done_by - seconds if policy.has_start_by else step.arrived_at,
             late_at if policy.has_tiers else math.inf,
             item.group_key in step.spare_groups,
             step.model,
@@ -208,7 +214,7 @@
             done_by=order,
         )
 
-    def _place(self, engine: int) -> scheduling.EngineCapacity:
+    def _capacity_of(self, engine: int) -> scheduling.EngineCapacity:
         n_models = len(self._load.trainers)
         versions = {f"m{n}": 0 for n in range(n_models)}
         running = self._running[engine]
@@ -216,35 +222,35 @@
         return scheduling.EngineCapacity(
             str(engine),
             "engines",
-            self._load.n_places,
+            self._load.engine_capacity,
             len(running),
             versions,
             frozenset(models),
             group_keys={each.group_key for each in running},
         )
 
-    def _go_on(self, engine: int) -> None:
+    def _schedule_events(self, engine: int) -> None:
         n_running = len(self._running[engine])
-        if not n_running or engine in self._going:
+        if not n_running or engine in self._scheduled:
             return
-        self._going.add(engine)
-        given = self._load
-        seconds = given.event_seconds + given.crowding_seconds * (n_running - 1)
-        self._loop.after(seconds, functools.partial(self._made_events, engine))
+        self._scheduled.add(engine)
+        workload = self._load
+        seconds = workload.event_seconds + workload.extra_item_seconds * (n_running - 1)
+        self._loop.call_later(seconds, functools.partial(self._generate_events, engine))
 
-    def _made_events(self, engine: int) -> None:
-        self._going.discard(engine)
+    def _generate_events(self, engine: int) -> None:
+        self._scheduled.discard(engine)
         for item in list(self._running[engine]):
-            item.n_made += 1
-            if item.n_made >= item.n_events:
+            item.n_generated += 1
+            if item.n_generated >= item.n_events:
                 self._running[engine].remove(item)
-                self._made_whole(item)
+                self._finish_item(item)
         self._assign()
-        self._go_on(engine)
+        self._schedule_events(engine)
 
     # Scoring
 
-    def _made_whole(self, item: _Item) -> None:
+    def _finish_item(self, item: _Item) -> None:
         item.ended_at = self._loop.now
         seconds = item.ended_at - item.began_at
         self._pace.record(item.n_expected, item.n_events, seconds)
@@ -252,8 +258,8 @@
         self._score()
 
     def _score(self) -> None:
-        slots = [each.n_slots for each in self._service.described]
-        n_places = scoring.max_concurrent(slots, self._policy.n_free_places)
+        slots = [each.n_slots for each in self._service.fleet_upstreams]
+        max_concurrent = scoring.max_concurrent(slots, self._policy.n_reserved_slots)
         candidates = [
             scoring.Unscored(
                 item.key,
@@ -263,31 +269,31 @@
             )
             for step, item in self._unscored.values()
         ]
-        for each in scoring.choose(candidates, n_places - self._n_scoring):
+        for each in scoring.choose(candidates, max_concurrent - self._n_scoring):
             step, item = self._unscored.pop(each.key)
             self._n_scoring += 1
-            done = functools.partial(self._scored, step, item)
+            done = functools.partial(self._finish_scoring, step, item)
             self._service.send(self._leader, self._load.scoring_seconds, done)
 
     def _n_missing(self, step: _Step, item: _Item) -> int:
         if not self._policy.has_scoring_order:
             return 0
-        return sum(1 for each in step.group(item.group_key) if not each.is_finished)
+        return sum(1 for each in step.group(item.group_key) if not each.is_scored)
 
-    def _scored(self, step: _Step, item: _Item, seconds: float) -> None:
+    def _finish_scoring(self, step: _Step, item: _Item, seconds: float) -> None:
         self._n_scoring -= 1
-        item.is_finished = True
+        item.is_scored = True
         self._pace.record_scoring(seconds)
         self.figures.scoring_seconds.append(self._loop.now - item.ended_at)
-        self._note_whole(step, item)
+        self._record_complete_group(step, item)
         self._score()
 
-    def _note_whole(self, step: _Step, item: _Item) -> None:
-        if not all(each.is_finished for each in step.group(item.group_key)):
+    def _record_complete_group(self, step: _Step, item: _Item) -> None:
+        if not all(each.is_scored for each in step.group(item.group_key)):
             return
-        step.whole_at.append(self._loop.now)
-        if len(step.whole_at) == step.n_wanted:
-            self.figures.step_seconds.append(self._loop.now - step.came_at)
+        step.completed_at.append(self._loop.now)
+        if len(step.completed_at) == step.n_wanted:
+            self.figures.step_seconds.append(self._loop.now - step.arrived_at)
             if step.end is not None:
                 step.end()
 
@@ -295,7 +301,7 @@
 
     def _look_up(self) -> None:
         gateway = self._gateways[int(self._rng.integers(len(self._gateways)))]
-        note = self.figures.look_up_seconds.append
-        self._service.send(gateway, self._load.look_up_seconds, note)
+        record = self.figures.look_up_seconds.append
+        self._service.send(gateway, self._load.look_up_seconds, record)
         pause = float(self._rng.exponential(1 / self._load.look_ups_per_second))
-        self._loop.after(pause, self._look_up)
+        self._loop.call_later(pause, self._look_up)
