--- a/bilberrydrum/state/replica.py
+++ b/bilberrydrum/state/replica.py
@@ -108,14 +108,14 @@
         if data:
             self._applier.restore(data)
         self._core = core.Core(self._settings, recovered, random.Random(), clock.now())
-        self._steward = membership_task.MembershipTask(
+        self._membership_task = membership_task.MembershipTask(
             self, self._carrier, self._options
         )
         self._joining = joining.Joining(
-            self, self._options, self._carrier, self._steward
+            self, self._options, self._carrier, self._membership_task
         )
         self._client_requests = client_requests.ClientRequests(
-            self, self._carrier, self._applier, self._steward
+            self, self._carrier, self._applier, self._membership_task
         )
         self._apply = applying.ApplyTask(
             self,
@@ -265,7 +265,7 @@
         return membership_task.status(
             self._core,
             self._applier.index,
-            self._steward.pending_change,
+            self._membership_task.pending_change,
             self._failure,
         )
 
@@ -423,11 +423,11 @@
 
     def replace_processes(self, process_ids: frozenset[str]) -> None:
         """Replace the replicas of these processes while this replica leads."""
-        self._steward.leaving_process_ids = process_ids
+        self._membership_task.leaving_process_ids = process_ids
 
     def spread_over(self, zones_by_process_id: Mapping[str, str]) -> None:
         """Replace lost replicas in the zones with the fewest replicas."""
-        self._steward.zones_by_process_id = zones_by_process_id
+        self._membership_task.zones_by_process_id = zones_by_process_id
 
     def leader_hint(self) -> LeaderHint:
         """Return the presumed leader's address and all members' addresses."""
--- a/simulation/load.py
+++ b/simulation/load.py
@@ -67,9 +67,12 @@
 class Policy:
     """The mechanisms to compare.
 
-    # Places of each upstream that scoring requests leave free.
+    A mechanism is switched off by withholding its input.
+    """
+
+    # Slots of each upstream that scoring requests leave free.
     n_reserved_slots: int = scoring.RESERVED_SLOTS
-    # Groups that the trainer does not wait for go last.
+    # Surplus groups, which the trainer does not wait for, go last.
     has_spare_groups: bool = True
     # Groups that can no longer be complete in time go after those that can.
     has_tiers: bool = True
--- a/simulation/rollouts.py
+++ b/simulation/rollouts.py
@@ -258,8 +258,8 @@
         self._score()
 
     def _score(self) -> None:
-        slots = [each.n_slots for each in self._service.described]
-        n_places = scoring.max_concurrent(slots, self._policy.n_reserved_slots)
+        slots = [each.n_slots for each in self._service.fleet_upstreams]
+        max_concurrent = scoring.max_concurrent(slots, self._policy.n_reserved_slots)
         candidates = [
             scoring.Unscored(
                 item.key,
