--- a/tests/test_fleet_tasks.py
+++ b/tests/test_fleet_tasks.py
@@ -85,7 +85,7 @@
     def __init__(self):
         book = quarantine.CrashHistory()
         for upstream_id, at in (("a", 0.0), ("b", 1.0)):
-            book.note(quarantine.Crash("f", "POST h/x", upstream_id), at)
+            book.record(quarantine.Crash("f", "POST h/x", upstream_id), at)
         self.policy = codec.encode(policy.Policy(1))
         self.crashes = codec.encode(book)
         self.n_calls = 0
