--- a/bilberrydrum/addresses.py
+++ b/bilberrydrum/addresses.py
@@ -1,17 +1,17 @@
-"""Addresses of processes: ``IP:port``, without host names."""
+"""Check addresses of processes: ``IP:port``, with no host name."""
 
 import ipaddress
 
 
 def fault(address: str, is_wildcard_allowed: bool = False) -> str:
-    """Return what is wrong with an ``IP:port``; empty if nothing is.
+    """Return what is wrong with an ``IP:port``, or an empty string if it is valid.
 
     Parameters
     ----------
     address : str
-        The address, with an IPv4 number: the sockets are opened for IPv4 alone.
+        The address. It must have an IPv4 number, as all sockets are IPv4 sockets.
     is_wildcard_allowed : bool
-        Whether the address may stand for all of the host's own addresses.
+        Whether 0.0.0.0, which stands for all addresses of the host, is valid.
     """
     host, separator, port = address.rpartition(":")
     if not separator:
--- a/bilberrydrum/backoff.py
+++ b/bilberrydrum/backoff.py
@@ -1,31 +1,31 @@
-"""A pause after failures that doubles with each failure in a row."""
+"""Exponential backoff: a pause that doubles with each consecutive failure."""
 
 import attrs
 
-# Doubling stops here, so that the power stays a small number.
+# Without a limit, the power of two would grow without bound in a long outage.
 _MAX_DOUBLINGS = 16
 
 
 @attrs.define
 class Backoff:
-    """The pause of one upstream; times are in seconds of `clock.now`."""
+    """The backoff of one peer; times are in seconds of `clock.now`."""
 
     first_seconds: float
     max_seconds: float
     n_failures: int = 0
     until: float = float("-inf")
 
-    def failed(self, now: float) -> None:
-        """Begin the next pause."""
+    def record_failure(self, now: float) -> None:
+        """Start the next pause, twice as long as the one before up to the maximum."""
         seconds = self.first_seconds * 2 ** min(self.n_failures, _MAX_DOUBLINGS)
         self.n_failures += 1
         self.until = now + min(seconds, self.max_seconds)
 
-    def succeeded(self) -> None:
-        """End the pause, and begin with the shortest one next time."""
+    def record_success(self) -> None:
+        """End the pause; the next failure starts the shortest one again."""
         self.n_failures = 0
         self.until = float("-inf")
 
     def remaining(self, now: float) -> float:
-        """Return how long the pause lasts yet; 0: there is none."""
+        """Return the seconds left of the pause, or 0 if there is none."""
         return max(self.until - now, 0.0)
--- a/bilberrydrum/batches/engines.py
+++ b/bilberrydrum/batches/engines.py
@@ -144,13 +144,13 @@
 
     def record_success(self) -> None:
         """Record a complete answer."""
-        self.retry_backoff.succeeded()
+        self.retry_backoff.record_success()
 
     def record_failure(self, now: float) -> None:
         """Record that an answer broke off or did not come."""
         # All attempts that break off in one crash count as one failure.
         if not self.retry_backoff.remaining(now):
-            self.retry_backoff.failed(now)
+            self.retry_backoff.record_failure(now)
 
     def record_rejection(self, now: float) -> None:
         """Record that the engine rejected an item because it was full."""
--- a/bilberrydrum/batches/orders.py
+++ b/bilberrydrum/batches/orders.py
@@ -132,7 +132,7 @@
     def _fetch_report(
         self, engine: model.FleetUpstream
     ) -> upstream_protocol.EngineReport | None:
-        message = self._protocol.ask_report(engine.announced_id)
+        message = self._protocol.report_request(engine.announced_id)
         reply = self._call(engine, lambda: message, "report")
         if reply.status != _OK:
             return None
--- a/bilberrydrum/clock.py
+++ b/bilberrydrum/clock.py
@@ -1,7 +1,7 @@
-"""The runtime's clock: the eventlet hub's monotonic time.
+"""The process's clock: the eventlet hub's monotonic time.
 
-Every task reads time here and passes it to the decision it drives, so that a test
-which replaces the hub's clock pauses and advances all of them.
+Tasks read the time here and pass it to the code that decides. A test that replaces the
+hub's clock therefore controls the time of all tasks.
 """
 
 import time
@@ -16,7 +16,7 @@
 
 
 def unix_now() -> float:
-    """Return this host's time of day, in seconds; it may jump, and may be wrong."""
+    """Return the host's Unix time in seconds; it may jump, and may be wrong."""
     return time.time()
 
 
--- a/bilberrydrum/codec.py
+++ b/bilberrydrum/codec.py
@@ -1,9 +1,9 @@
 """Encode typed values for the log, the snapshots and the peer protocol.
 
-Each attrs class that leaves the process is registered under a stable name. A value is
-a msgpack pair ``[name, fields]``; cattrs turns fields into the class and back. Fields
-unknown to the reader are ignored and missing ones take their default, so that two
-neighbouring releases understand each other.
+Each attrs class whose instances leave the process is registered under a stable name. A
+value is encoded as a msgpack pair ``[name, fields]``, and cattrs converts between the
+fields and the class. A reader ignores fields that it does not know, and missing fields
+have their default, so that two consecutive releases understand each other.
 """
 
 from collections.abc import Callable
@@ -24,11 +24,14 @@
 
 
 class UnknownTypeError(DecodeError):
-    """The bytes name a class that this release does not have."""
+    """The class named in the bytes is not registered in this release."""
 
 
 def register(name: str) -> Callable[[type[T]], type[T]]:
-    """Register the decorated attrs class under `name`, which must never change."""
+    """Register the decorated attrs class under `name`.
+
+    The name must never change: stored data and other releases refer to it.
+    """
 
     def add(cls: type[T]) -> type[T]:
         if name in _classes_by_name:
@@ -47,12 +50,12 @@
 
 
 def decode(data: bytes) -> Any:
-    """Return the value in `data`.
+    """Return the value that `data` encodes.
 
     Raises
     ------
     UnknownTypeError
-        If the value's class is not known to this release.
+        If the value's class is not registered in this release.
     DecodeError
         If `data` is damaged or a field has the wrong type.
     """
--- a/bilberrydrum/counters.py
+++ b/bilberrydrum/counters.py
@@ -7,25 +7,27 @@
 from bilberrydrum import reasons
 
 REFUSALS: Final = prometheus_client.Counter(
-    "bilberrydrum_refusals_total", "Requests refused, by reason.", ["reason"]
+    "bilberrydrum_refusals_total", "Refused requests, by reason.", ["reason"]
 )
 RETRIES: Final = prometheus_client.Counter(
-    "bilberrydrum_retries_total", "Attempts made again, by reason.", ["reason"]
+    "bilberrydrum_retries_total", "Retries of attempts, by reason.", ["reason"]
 )
 DROPS: Final = prometheus_client.Counter(
-    "bilberrydrum_drops_total", "Messages and results dropped, by reason.", ["reason"]
+    "bilberrydrum_drops_total", "Dropped messages and results, by reason.", ["reason"]
 )
 REQUESTS: Final = prometheus_client.Counter(
-    "bilberrydrum_requests_total", "Answers to callers.", ["kind", "status"]
+    "bilberrydrum_requests_total",
+    "Answers to callers, by HTTP status.",
+    ["kind", "status"],
 )
 TRAINER_IDLE_SECONDS: Final = prometheus_client.Counter(
     "bilberrydrum_trainer_idle_seconds_total",
-    "Time trainers spent waiting for a batch.",
+    "Time in seconds that trainers have waited for a batch.",
     ["trainer"],
 )
 SAMPLE_STALENESS: Final = prometheus_client.Histogram(
     "bilberrydrum_sample_staleness_versions",
-    "Versions between the newest published and the oldest in a delivered sample.",
+    "Weight versions between the newest published and the oldest one in a sample.",
     ["trainer"],
     buckets=(0, 1, 2, 3, 4, 6, 8, 12, 16),
 )
@@ -36,22 +38,22 @@
 
 BROKEN_RUNS: Final = prometheus_client.Counter(
     "bilberrydrum_broken_runs_total",
-    "Runs that broke off at an upstream, by whether it had ended.",
+    "Runs cut off at an upstream, by whether the upstream had crashed.",
     ["upstream"],
 )
 USAGE_LOST: Final = prometheus_client.Counter(
     "bilberrydrum_usage_lost_requests_total",
-    "Begun requests that are in no report, by why.",
+    "Started requests that are missing from all usage reports, by cause.",
     ["why"],
 )
 USAGE_REPORTS: Final = prometheus_client.Counter(
     "bilberrydrum_usage_reports_total",
-    "Reports of use that were sent, by the answer's status.",
+    "Usage reports that were sent, by the answer's status.",
     ["status"],
 )
 USAGE_PENDING: Final = prometheus_client.Gauge(
     "bilberrydrum_usage_pending_windows",
-    "Closed windows whose report is not confirmed, at the control leader.",
+    "Closed windows whose usage report is not confirmed, at the control leader.",
 )
 RELAY_SECONDS: Final = prometheus_client.Histogram(
     "bilberrydrum_relay_seconds",
@@ -67,7 +69,7 @@
 )
 SCORING_SECONDS: Final = prometheus_client.Histogram(
     "bilberrydrum_scoring_seconds",
-    "Time of one scoring request, its attempts at several upstreams together.",
+    "Time of one scoring request, including all its attempts.",
     ["outcome"],
     buckets=(0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2),
 )
@@ -78,12 +80,12 @@
 )
 LEADER_CALL_SECONDS: Final = prometheus_client.Histogram(
     "bilberrydrum_leader_call_seconds",
-    "Time of a call to the leader of a group, all tries together.",
+    "Time of a call to the leader of a group, including all attempts.",
     ["message", "outcome"],
     buckets=(0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2),
 )
 LOG_LINES_DROPPED: Final = prometheus_client.Counter(
-    "bilberrydrum_log_lines_dropped_total", "Log lines that did not fit in the queue."
+    "bilberrydrum_log_lines_dropped_total", "Log lines dropped as the queue was full."
 )
 
 
@@ -93,7 +95,7 @@
 
 
 def retried(reason: reasons.Reason) -> None:
-    """Count one attempt that is made again."""
+    """Count one retry of an attempt."""
     RETRIES.labels(reason.value).inc()
 
 
--- a/bilberrydrum/daemon.py
+++ b/bilberrydrum/daemon.py
@@ -1,8 +1,8 @@
-"""One daemon: its parts, the order they start in, and a graceful shutdown.
+"""The daemon: its components, their start order, and the graceful shutdown.
 
-All parts are made and the HTTP server listens before the process registers with the
-state group, so that an operator can look at and repair a group that has no quorum. A
-gateway refuses work until it holds a bundle lease.
+All components are created and the HTTP server listens before the process registers with
+the state group. An operator can therefore inspect and repair a group without a quorum.
+A gateway refuses work until it holds a bundle lease.
 """
 
 import gc
@@ -19,7 +19,7 @@
     clock,
     options,
     reasons,
-    registrations,  # noqa: F401, imported for what it registers
+    registrations,  # noqa: F401, imported for its side effects
     transport,
 )
 from bilberrydrum.bundles import grants, lease
@@ -46,16 +46,16 @@
 
 @attrs.frozen
 class Secrets:
-    """What the daemon reads from the files that its options name."""
+    """The secrets in the files that the options name."""
 
-    # Keys for the connections between processes; None: no encryption.
+    # Keys for the connections between processes; without them, nothing is encrypted.
     curve_keys: transport.CurveKeys | None = None
-    # Bearer tokens by `edge` guard; a guard without one lets everyone in.
+    # Bearer tokens by guard of the `edge`; routes of a guard without one are open.
     tokens_by_guard: dict[str, bytes] = attrs.field(factory=dict)
 
 
 class Daemon:
-    """All tasks of one process."""
+    """All components of one process, and their tasks."""
 
     def __init__(self, options_: options.Options, secrets: Secrets) -> None:
         self.options = options_
@@ -98,7 +98,7 @@
             options_.gateway.http_address, self.edge, options_.limits
         )
         self._is_registered = False
-        self._stop_asked = eventlet.event.Event()
+        self._stop_requested = eventlet.event.Event()
         self._n_signals = 0
         self._start_failed = False
         self._add_routes()
@@ -125,7 +125,7 @@
         )
 
     def find_unready(self) -> list[str]:
-        """Return the reasons for which no work should be sent here."""
+        """Return why this process should get no work; empty if it is ready."""
         unready = []
         if self.edge.is_draining:
             unready.append(reasons.Reason.SHUTTING_DOWN.value)
@@ -151,7 +151,7 @@
         ]
 
     def start(self) -> None:
-        """Start all tasks; returns once the state group knows this process."""
+        """Start all tasks, and return once the process is registered."""
         self.transport.start()
         if self.replica is not None and self.grants is not None:
             self.replica.start()
@@ -162,8 +162,9 @@
         self._is_registered = True
         for task in self._gateway_tasks():
             task.start()
-        # What was made until now stays for good. Left to the collector, each full
-        # collection would walk through it and hold up all requests meanwhile.
+        # The objects created until here exist until the process ends. If they were not
+        # frozen, each full garbage collection would traverse them and block all
+        # requests for that time.
         gc.collect()
         gc.freeze()
         eliot.log_message(
@@ -173,18 +174,18 @@
         )
 
     def run(self) -> bool:
-        """Start, and return once a signal has stopped the process gracefully.
+        """Start, wait for a signal, and shut down gracefully.
 
         Returns
         -------
         bool
-            False if the process ended because it could not start.
+            True if a signal stopped the process; False if the start failed.
         """
         signal.signal(signal.SIGTERM, self._on_signal)
         signal.signal(signal.SIGINT, self._on_signal)
         starter = eventlet.spawn(self.start)
         starter.link(self._on_started)
-        self._stop_asked.wait()
+        self._stop_requested.wait()
         starter.kill()
         if self._start_failed:
             self.stop()
@@ -197,24 +198,25 @@
         try:
             starter.wait()
         except Exception:
-            # A process whose start has failed must end: half its tasks would run.
+            # If a process went on after a failed start, only some tasks would run.
             eliot.write_traceback()
             self._start_failed = True
-            self._ask_to_stop()
+            self._request_stop()
 
     def _on_signal(self, number: int, frame: types.FrameType | None) -> None:
-        # A handler runs between two steps of any task, so it only schedules.
-        eventlet.hubs.get_hub().schedule_call_global(0, self._ask_to_stop)
+        # A signal handler interrupts whichever task runs, so it only schedules.
+        eventlet.hubs.get_hub().schedule_call_global(0, self._request_stop)
 
-    def _ask_to_stop(self) -> None:
+    def _request_stop(self) -> None:
         self._n_signals += 1
-        if not self._stop_asked.ready():
-            self._stop_asked.send(None)
+        if not self._stop_requested.ready():
+            self._stop_requested.send(None)
 
     def _drain(self) -> None:
-        """Let the balancer notice, then wait for requests in flight.
+        """Fail the health check for a while, then wait for requests in flight.
 
-        A second signal ends the waiting.
+        A load balancer thereby stops sending requests before the listening socket is
+        closed. After a second signal nothing is waited for.
         """
         limits = self.options.shutdown
         eliot.log_message(message_type="daemon:draining")
@@ -229,7 +231,7 @@
             clock.sleep(_DRAIN_POLL_SECONDS)
 
     def stop(self) -> None:
-        """End all tasks; leases they hold are given back."""
+        """Stop all tasks and release the leases that they hold."""
         for task in reversed(self._gateway_tasks()):
             task.stop()
         self.state.stop()
--- a/bilberrydrum/event_stream.py
+++ b/bilberrydrum/event_stream.py
@@ -1,48 +1,51 @@
-"""Read an engine's event stream as it comes, into whole events.
+"""Parse an engine's event stream incrementally.
 
-Pure: bytes in, events out. An event is whole once the empty line after it was read; a
-stream may break off in the middle of one, and what was begun is dropped then. Events
-are numbered from 1.
+The parser does no I/O: it takes bytes and returns events. An event is complete once the
+empty line after it has been read. If a stream is cut off within an event, that event is
+dropped. Events are numbered from 1.
 """
 
 from typing import Final
 
 import attrs
 
-# Longest event taken; a longer one is an engine's fault and would fill the memory.
+# Longest accepted event. A longer one is an engine's fault; without a limit, such an
+# event could exhaust the memory.
 MAX_EVENT_BYTES: Final = 1024 * 1024
-# Longest number taken; `int` fails for thousands of digits, with an error of its own.
+# Most digits of an accepted number. For thousands of digits, `int` raises an error that
+# is not an `EventError`.
 _MAX_DIGITS: Final = 19
 
 
 class EventError(Exception):
-    """The bytes are no stream of numbered events."""
+    """The bytes are not a stream of numbered events."""
 
 
 @attrs.frozen
 class Event:
     """One event of a stream."""
 
-    # Number in the stream, from 1; rises by one from event to event.
+    # Position in the stream: 1 for the first event, one more for each further one.
     number: int
     data: bytes
-    # Weight version from this event on; None: as before.
+    # Weight version from this event on; None if it has not changed.
     version: int | None = None
-    # Its bytes as they came, with the empty line.
+    # The bytes of the event as received, including the empty line.
     raw: bytes = attrs.field(default=b"", eq=False, repr=False)
 
 
 @attrs.define
 class EventReader:
-    """Cuts the bytes of one stream into events."""
+    """Splits the bytes of one stream into events."""
 
-    # Name of the field by which an event tells a change of the weight version.
+    # Name of the event field that contains a new weight version.
     version_field: str
-    # Number of the last whole event, at first the one that the stream goes on after; 0:
-    # it is read from its beginning. The next event must follow it: with any number for
-    # the first one, a stream that lacks its beginning would be read as whole.
+    # Number of the last complete event. Its initial value is the event after which the
+    # stream is resumed, 0 if it is read from the beginning. The next event must have
+    # the next number: if the first event could have any number, a stream without its
+    # beginning would be accepted as complete.
     last_number: int = 0
-    _rest: bytes = b""
+    _unparsed: bytes = b""
 
     def feed(self, data: bytes) -> list[Event]:
         """Return the events that `data` completes.
@@ -52,15 +55,15 @@
         EventError
             If an event is damaged or out of order.
         """
-        text = (self._rest + data).replace(b"\r\n", b"\n")
-        *blocks, self._rest = text.split(b"\n\n")
-        if len(self._rest) > MAX_EVENT_BYTES:
+        text = (self._unparsed + data).replace(b"\r\n", b"\n")
+        *blocks, self._unparsed = text.split(b"\n\n")
+        if len(self._unparsed) > MAX_EVENT_BYTES:
             raise EventError("event too large")
         return [self._parse(block) for block in blocks if block.strip()]
 
     def is_between_events(self) -> bool:
-        """Tell whether the stream, if it ends here, ends after a whole event."""
-        return not self._rest.strip()
+        """Return whether a stream that ends here ends after a complete event."""
+        return not self._unparsed.strip()
 
     def _parse(self, block: bytes) -> Event:
         number = None
@@ -72,9 +75,9 @@
             if name == b"data":
                 lines.append(value)
             elif name == b"id":
-                number = _whole_number(value)
+                number = _parse_number(value)
             elif name.decode("latin-1").lower() == self.version_field.lower():
-                version = _whole_number(value)
+                version = _parse_number(value)
         if number is None:
             raise EventError(f"event without a number: {block[:80]!r}")
         if number != self.last_number + 1:
@@ -83,7 +86,7 @@
         return Event(number, b"\n".join(lines), version, block + b"\n\n")
 
 
-def _whole_number(value: bytes) -> int:
+def _parse_number(value: bytes) -> int:
     text = value.strip()
     if not text.isdigit() or len(text) > _MAX_DIGITS:
         raise EventError(f"not a number: {text[:40]!r}")
--- a/bilberrydrum/findings.py
+++ b/bilberrydrum/findings.py
@@ -1,7 +1,7 @@
-"""Findings: what is wrong in a file or document, each with its place.
+"""Findings: the errors in a file or document, each with line and column.
 
-A check goes on after the first fault, so that whoever wrote the file mends all of
-them in one go.
+A check continues after the first error and reports all of them, so that the author of
+the file can correct them at once.
 """
 
 from collections.abc import Iterable
@@ -11,10 +11,11 @@
 
 @attrs.frozen(order=True)
 class Finding:
-    """One fault. Findings sort by file, then by place."""
+    """One error. Findings sort by file, then by line and column."""
 
     file: str
-    # Both count from 1; 0 means that the fault has no place in the file.
+    # Both count from 1. They are 0 for an error that belongs to no line, such as a file
+    # that cannot be read.
     line: int
     column: int
     message: str
@@ -27,10 +28,10 @@
 
 
 def in_order(found: Iterable[Finding]) -> list[Finding]:
-    """Return the findings sorted by place, each said once."""
+    """Return the findings sorted and without duplicates."""
     return sorted(set(found))
 
 
 def report(found: Iterable[Finding]) -> str:
-    """Return the findings as text, one a line."""
+    """Return the findings as text, one per line."""
     return "\n".join(str(finding) for finding in found)
--- a/bilberrydrum/fleet/control.py
+++ b/bilberrydrum/fleet/control.py
@@ -12,7 +12,7 @@
 import eventlet
 import eventlet.event
 
-from bilberrydrum import clock, line_limit, transport
+from bilberrydrum import clock, log_rate_limit, transport
 from bilberrydrum.fleet import (
     commands,
     crash_calls,
@@ -84,7 +84,7 @@
         self._loaded_by_id: dict[str, model.FleetUpstream] = {}
         self._changed = eventlet.event.Event()
         self._feeds = feeds.Feeds()
-        self._not_taken_lines = line_limit.LineLimit()
+        self._not_taken_lines = log_rate_limit.LogRateLimit()
         self._tasks: list[Any] = []
 
     def start(self) -> None:
--- a/bilberrydrum/http/edge.py
+++ b/bilberrydrum/http/edge.py
@@ -204,7 +204,7 @@
         # Set once the process is told to stop.
         self.is_draining = False
 
-    def take_limits(self, max_header_bytes: int, max_body_bytes: int) -> None:
+    def apply_limits(self, max_header_bytes: int, max_body_bytes: int) -> None:
         """Take over what an operator allows a client to send; 0: as the process has it.
 
         What the process itself can take is not exceeded.
--- a/bilberrydrum/keys.py
+++ b/bilberrydrum/keys.py
@@ -18,7 +18,7 @@
 
 # Characters of a 32-byte key in Z85.
 KEY_LENGTH: Final = 40
-# The secret key may be read by its owner alone.
+# Mode of a key file: only the owner may read the secret key.
 _MODE: Final = 0o600
 _GROUP_AND_OTHERS: Final = 0o077
 
@@ -44,16 +44,16 @@
 
 
 def generate() -> KeyPair:
-    """Return new keys."""
+    """Return a new key pair."""
     public, secret = zmq.curve_keypair()
     return KeyPair(public.decode(), secret.decode())
 
 
 def write(path: str, pair: KeyPair) -> result.Result[None, findings.Finding]:
-    """Write a new key file, readable by its owner alone; never replace one."""
-    # Z85 has neither quotes nor backslashes, so plain quoting is enough.
+    """Write a new key file that only its owner can read; never replace a file."""
+    # Z85 text contains neither quotes nor backslashes, so it needs no escaping.
     text = f'{_HEADER}public: "{pair.public}"\nsecret: "{pair.secret}"\n'
-    # A key that peers know already would be lost for good if it were overwritten.
+    # If a file were overwritten, a key that peers already use would be lost.
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
     try:
         descriptor = os.open(path, flags, _MODE)
@@ -68,7 +68,7 @@
 
 
 def read_pair(path: str) -> result.Result[KeyPair, list[findings.Finding]]:
-    """Read a key file; refuse one that others than its owner may read."""
+    """Read a key file; report it if anyone but its owner may read it."""
     outcome = yaml_places.read_file(path, KeyPair)
     if isinstance(outcome, result.Err):
         return outcome
@@ -76,9 +76,9 @@
     for name in ("public", "secret"):
         if not is_key(getattr(reading.value, name)):
             reading.report(_key_rule(name), (name,))
-    # Whoever can read the secret key can pass for this process.
+    # Whoever can read the secret key can impersonate this process.
     if os.stat(path).st_mode & _GROUP_AND_OTHERS:
-        reading.report("others than the owner may read this file; use chmod 600", ())
+        reading.report("others than its owner may access this file; use chmod 600", ())
     return reading.finish()
 
 
@@ -97,13 +97,13 @@
             reading.report(_key_rule(f"the key of {address}"), path_of_key)
         elif key in addresses_by_key:
             other = addresses_by_key[key]
-            reading.report(f"this is the key of {other} already", path_of_key)
+            reading.report(f"this key belongs to {other} already", path_of_key)
         addresses_by_key[key] = address
     return reading.finish()
 
 
 def is_key(text: str) -> bool:
-    """Tell whether `text` is a key in Z85."""
+    """Return whether `text` is a key in Z85."""
     if len(text) != KEY_LENGTH:
         return False
     try:
--- a/bilberrydrum/logs.py
+++ b/bilberrydrum/logs.py
@@ -1,9 +1,9 @@
-"""Log lines as JSON, by eliot: to a file or standard error, or bounded to the output.
+"""Write log lines as JSON with eliot, to a file, standard error or standard output.
 
-`open_log` is for a daemon whose lines are for changes of state only. `open_output` is
-for processes that write a line for each decision: lines wait in a bounded queue and are
-written by a task of their own, so that a reader that stops reading costs lines, never
-requests.
+`open_log` is for a daemon that logs only changes of its state, and writes at once.
+`open_output` is for processes that log every decision: a bounded queue holds the lines,
+and a separate task writes them. If the reader of the output stops reading, lines are
+dropped, but no request is delayed.
 """
 
 import collections
@@ -19,14 +19,15 @@
 
 from bilberrydrum import clock, counters, findings
 
-# Lines that wait to be written; further ones are counted and dropped, the plain ones
-# first. At 600 bytes a line this is 1.2 MB.
+# Most lines in the queue; further lines are counted and dropped, lines that report no
+# failure first. At 600 bytes a line this is 1.2 MB.
 MAX_WAITING: Final = 2_000
-# Lines for failures may use the whole queue, all others this share of it.
-_PLAIN_SHARE: Final = 0.8
-# Lines are written together this often; a process that ends writes what is left.
+# Lines that report a failure may fill the queue, all others only this share of it.
+_NON_FAILURE_SHARE: Final = 0.8
+# Interval at which queued lines are written; a process that exits writes the rest.
 _FLUSH_SECONDS: Final = 0.2
 _WRITE_BYTES: Final = 64 * 1024
+# A line reports a failure if its type contains one of these words.
 _FAILURE_WORDS: Final = ("failed", "refused", "lost", "dropped", "traceback")
 
 
@@ -36,8 +37,8 @@
         eliot.to_file(sys.stderr)
         return result.Ok(None)
     try:
-        # Line-buffered: the line that explains a crash must not be lost with the
-        # process. It stays open for as long as the process runs.
+        # The file is line-buffered: otherwise a crash could lose the line that explains
+        # it. It stays open for as long as the process runs.
         output = open(path, "a", buffering=1)  # noqa: SIM115
     except OSError as error:
         message = f"cannot be opened for log lines: {error.strerror}"
@@ -47,20 +48,20 @@
 
 
 class BoundedLog:
-    """Lines on their way to a file descriptor that may not take them."""
+    """A bounded queue of log lines for a non-blocking file descriptor."""
 
     def __init__(self, descriptor: int, max_waiting: int = MAX_WAITING) -> None:
         self._descriptor = descriptor
         self._max_waiting = max_waiting
         self._lines: collections.deque[bytes] = collections.deque()
-        self._rest = b""
+        self._unwritten = b""
         self.n_dropped = 0
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Queue one message (an eliot destination)."""
+        """Queue one message, or drop it if the queue is full (an eliot destination)."""
         kind = str(message.get("message_type", ""))
         is_failure = any(each in kind for each in _FAILURE_WORDS)
-        limit = self._max_waiting * (1.0 if is_failure else _PLAIN_SHARE)
+        limit = self._max_waiting * (1.0 if is_failure else _NON_FAILURE_SHARE)
         if len(self._lines) >= limit:
             self.n_dropped += 1
             counters.LOG_LINES_DROPPED.inc()
@@ -68,35 +69,35 @@
         self._lines.append(_encode(message))
 
     def flush(self) -> None:
-        """Write what the descriptor takes now; never blocks."""
+        """Write as much as the descriptor accepts without blocking."""
         if self.n_dropped and len(self._lines) < self._max_waiting:
             dropped = {"message_type": "log:dropped", "n_lines": self.n_dropped}
             self.n_dropped = 0
             self._lines.append(_encode(dropped))
-        while self._rest or self._lines:
-            while self._lines and len(self._rest) < _WRITE_BYTES:
-                self._rest += self._lines.popleft()
+        while self._unwritten or self._lines:
+            while self._lines and len(self._unwritten) < _WRITE_BYTES:
+                self._unwritten += self._lines.popleft()
             try:
-                n_written = os.write(self._descriptor, self._rest)
+                n_written = os.write(self._descriptor, self._unwritten)
             except OSError as error:
                 if error.errno not in (errno.EAGAIN, errno.EINTR):
-                    # Nobody reads any more; there is nowhere to say so.
+                    # The output was closed, so the error cannot be logged either.
                     self.n_dropped += len(self._lines)
                     self._lines.clear()
-                    self._rest = b""
+                    self._unwritten = b""
                 return
-            self._rest = self._rest[n_written:]
+            self._unwritten = self._unwritten[n_written:]
 
     def run(self) -> None:
-        """Write what comes, from time to time (a task)."""
+        """Write queued lines periodically (a task)."""
         while True:
             clock.sleep(_FLUSH_SECONDS)
-            if self._lines or self._rest:
+            if self._lines or self._unwritten:
                 self.flush()
 
 
 def _encode(message: dict[str, Any]) -> bytes:
-    # The two fields that place a message in a tree of actions say nothing here.
+    # eliot's two fields for the position in a tree of actions are not used here.
     fields = {
         name: value
         for name, value in message.items()
@@ -106,7 +107,7 @@
 
 
 def open_output() -> BoundedLog:
-    """Write log lines to standard output, bounded and without ever blocking."""
+    """Write log lines to standard output through a bounded queue, without blocking."""
     descriptor = sys.stdout.fileno()
     os.set_blocking(descriptor, False)
     bounded = BoundedLog(descriptor)
--- a/bilberrydrum/main.py
+++ b/bilberrydrum/main.py
@@ -33,7 +33,7 @@
 def read_secrets(
     options_: options.Options,
 ) -> result.Result[daemon.Secrets, list[findings.Finding]]:
-    """Read the key and token files that the options name, or return all findings."""
+    """Read the key and token files that the options name; return all findings."""
     found: list[findings.Finding] = []
     curve_keys = curve.load(options_)
     if isinstance(curve_keys, result.Err):
@@ -56,7 +56,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the daemon until it is told to stop; return the exit code."""
+    """Run the daemon until a signal stops it; return the exit code."""
     parsed = make_parser().parse_args(arguments)
     loaded = settings.load(parsed.settings)
     if isinstance(loaded, result.Err):
--- a/bilberrydrum/options.py
+++ b/bilberrydrum/options.py
@@ -1,6 +1,6 @@
-"""The daemon's options: one class, read from YAML by `bilberrydrum.settings`.
+"""The daemon's options, which `bilberrydrum.settings` reads from a YAML file.
 
-Times are in seconds, sizes in bytes. Addresses are ``IP:port``.
+Times are in seconds, sizes in bytes, and addresses have the form ``IP:port``.
 """
 
 from typing import Final
@@ -17,7 +17,7 @@
 
     # The member's process id.
     process_id: str
-    # The member's address for other processes of the system.
+    # The address on which other processes of the system reach the member.
     peer_address: str
 
 
@@ -25,33 +25,35 @@
 class StateOptions:
     """Options of the state group."""
 
-    # Members the group starts with, or is first looked for at.
+    # The initial members of the group. A process that joins it contacts them first.
     members: tuple[Member, ...] = ()
-    # Folder for the log and the snapshots; needed by the state role.
+    # Folder of the log and the snapshots; required by the state role.
     data_folder: str = ""
-    # How often the leader lets followers hear from it.
+    # Interval of the leader's heartbeats.
     heartbeat_seconds: float = 0.1
-    # A follower stands for election after this long without a leader, up to twice it.
+    # A follower starts an election after this time without a heartbeat, or up to twice
+    # this time: the delay is random.
     election_timeout_seconds: float = 0.6
-    # Share of a lease taken off at its holder for clocks that run at unlike rates.
+    # Share of a lease by which its holder shortens it, as clocks may run at different
+    # rates.
     drift_margin: float = 0.05
-    # Entries in the log after which a snapshot is made.
+    # Number of log entries after which a snapshot is made.
     snapshot_entries: int = 20_000
-    # The log's bytes in memory after which a snapshot is made sooner.
+    # Bytes of the log in memory after which a snapshot is made even with fewer entries.
     max_log_bytes: int = 32 * 1024 * 1024
-    # The leader hands over before it makes a snapshot of at least this size: commands
-    # wait while the state is encoded, a tenth of a second for each 4 MiB.
+    # Size from which the leader transfers its leadership before it makes a snapshot.
+    # Commands wait while the state is encoded, which takes 0.1 s for each 4 MiB.
     handover_bytes: int = 4 * 1024 * 1024
-    # Whether this process may start the group. False on a host whose disk may have
-    # been lost: a second group beside the first would acknowledge what the first
-    # never sees.
+    # Whether this process may bootstrap the group. It must be False on a host that may
+    # have lost its disk: otherwise a second group could start next to the existing one
+    # and acknowledge commands that the existing one never receives.
     may_found: bool = True
-    # Whether the group lets in processes that neither settings nor membership name.
+    # Whether processes may join that are neither in the settings nor members.
     is_open: bool = False
-    # Replicas with a vote that the group keeps to; 0: every process that joins gets
-    # one. Further processes stand by until a replica is lost or leaves.
+    # Number of voting replicas; with 0, every process that joins gets a vote. Further
+    # processes are on standby until a replica is lost or leaves.
     n_voters: int = 0
-    # A replica not heard from for this long is replaced, if another can take its place.
+    # A replica that has not answered for this time is replaced, if there is a standby.
     lost_seconds: float = 3.0
 
 
@@ -59,17 +61,18 @@
 class GatewayOptions:
     """Options of the gateway role."""
 
-    # Address on which callers, upstreams, trainers and operators are served.
+    # Address of the HTTP server for callers, upstreams, trainers and operators.
     http_address: str = "127.0.0.1:8080"
-    # How long a gateway acts on a bundle without hearing from the state group.
+    # Time for which a gateway may use a bundle without an answer of the state group.
     bundle_lease_seconds: float = 3.0
-    # How often the bundle lease is renewed.
+    # Interval at which the bundle lease is renewed.
     bundle_renew_seconds: float = 0.5
-    # The same under a bundle whose cut policy is "hold"; at least the lease above.
+    # The lease under a bundle whose cut policy is "hold"; at least
+    # `bundle_lease_seconds`.
     bundle_hold_lease_seconds: float = 600.0
-    # File with the operators' bearer token; empty: no token is asked for.
+    # File with the operators' bearer token; if empty, no token is required.
     operator_token_file: str = ""
-    # File with the upstreams' bearer token; empty: no token is asked for.
+    # File with the upstreams' bearer token; if empty, no token is required.
     upstream_token_file: str = ""
 
 
@@ -79,67 +82,68 @@
 
     # Largest request body.
     max_body_bytes: int = 4 * 1024 * 1024
-    # Largest sum of header bytes.
+    # Largest size of all headers of a request together.
     max_header_bytes: int = 16 * 1024
-    # Most connections at a time.
+    # Largest number of concurrent connections.
     max_connections: int = 4096
-    # Longest time to read one request.
+    # Longest time to read the headers of a request, and also to read its body.
     read_timeout_seconds: float = 10.0
 
 
 @attrs.frozen
 class UpstreamOptions:
-    """Options for upstreams' leases and their dissemination."""
+    """Options of upstreams' leases and of sharing them among gateways."""
 
-    # An upstream not heard from for this long gets no new work.
+    # An upstream that has not renewed its lease for this time gets no new work.
     lease_seconds: float = 2.0
-    # How often upstreams are told to renew.
+    # Interval at which upstreams should renew; answers to them contain it.
     renew_seconds: float = 0.5
-    # How often a gateway tells the others that its upstreams still stand.
+    # Interval of the heartbeats by which a gateway confirms its upstreams to others.
     standing_seconds: float = 0.5
-    # Up to this many gateways tell each other directly; more form groups that relay.
+    # Up to this number, each gateway sends to all others; more gateways form groups
+    # with relay nodes.
     max_mesh_gateways: int = 16
-    # The one process that orders upstreams about loses that right after this long.
+    # Lease of the one process that may send orders to upstreams.
     controller_lease_seconds: float = 3.0
-    # Longest time between sending an order and its arrival at the upstream.
+    # Longest time that a sent order may take to arrive at the upstream.
     order_flight_seconds: float = 10.0
 
 
 @attrs.frozen
 class RequestOptions:
-    """Options for callers' requests."""
+    """Options of callers' requests."""
 
-    # Time a request may take when the caller names none.
+    # Timeout of a request whose caller gives none.
     default_timeout_seconds: float = 60.0
-    # Longest time a caller may name.
+    # Longest timeout; a longer one of a caller is reduced to it.
     max_timeout_seconds: float = 3600.0
-    # Retries allowed as a share of first attempts.
+    # Largest number of retries, as a share of first attempts.
     retry_budget: float = 0.2
-    # Attempts at most for one idempotent request.
+    # Largest number of attempts for one idempotent request.
     max_attempts: int = 3
-    # Requests that may wait per caller.
+    # Largest number of queued requests per caller.
     max_queue_per_caller: int = 64
-    # How long the claim of a non-idempotent request and its result are kept.
+    # Time for which the claim and the result of a non-idempotent request are kept.
     claim_seconds: float = 24 * 3600.0
-    # Largest result kept for a non-idempotent request.
+    # Largest result of a non-idempotent request that is kept.
     max_result_bytes: int = 64 * 1024
 
 
 @attrs.frozen
 class SampleOptions:
-    """Options for groups, samples and weights."""
+    """Options of groups, samples and weights."""
 
-    # A group's owner loses it after this long without renewing.
+    # Lease of a gateway on the groups that it owns.
     owner_lease_seconds: float = 3.0
     # Largest prompt of a group.
     max_prompt_bytes: int = 16 * 1024
-    # Slots of one trainer at most whose samples are not acknowledged.
+    # Largest number of slots of one trainer without an acknowledged sample.
     max_open_slots: int = 16_384
-    # Longest time one batch request may wait.
+    # Longest time that one batch request may wait for its samples.
     max_wait_seconds: float = 30.0
-    # Extra attempts allowed as a share of slots.
+    # Largest number of extra attempts, as a share of slots.
     second_attempt_budget: float = 0.05
-    # Share of a model's engines that may swap to new weights at a time.
+    # Share of a model's engines that may load new weights at a time.
     swap_share: float = 0.5
     # Longest time that an engine may take to load weights.
     load_timeout_seconds: float = 300.0
@@ -149,19 +153,20 @@
 class ShutdownOptions:
     """Options of a graceful shutdown."""
 
-    # Time the balancer gets to notice the failing health check.
+    # Time for which the health check fails before the listening socket is closed, so
+    # that load balancers notice.
     balancer_seconds: float = 2.0
-    # Longest time to wait for work in flight.
+    # Longest time to wait for requests in flight, from the start of the shutdown.
     limit_seconds: float = 600.0
 
 
 @attrs.frozen
 class CurveOptions:
-    """Keys for the connections between processes; empty: no encryption."""
+    """Key files for the connections between processes; if empty, no encryption."""
 
-    # File with this process's public and secret key.
+    # File with the public and secret key of this process.
     key_file: str = ""
-    # File with the public keys of the processes that may connect.
+    # File with the public keys of all processes that may connect.
     peers_file: str = ""
 
 
@@ -169,18 +174,18 @@
 class Options:
     """All options of one daemon."""
 
-    # Name of this process, unique in the deployment.
+    # Name of this process; unique in the deployment.
     process_id: str
     # Name of the state group that this process belongs to.
     group: str = "main"
-    # Where this process runs.
+    # Availability zone and region of this process.
     availability_zone: str = "local"
     region: str = "local"
-    # Any of "gateway" and "state".
+    # Roles of this process: "gateway", "state" or both.
     roles: tuple[str, ...] = (ROLE_GATEWAY, ROLE_STATE)
     # Address on which other processes of the system reach this one.
     peer_address: str = "127.0.0.1:9080"
-    # File for the log lines; empty: standard error.
+    # File to which log lines are written; if empty, standard error.
     log_file: str = ""
     state: StateOptions = attrs.field(factory=StateOptions)
     gateway: GatewayOptions = attrs.field(factory=GatewayOptions)
--- a/bilberrydrum/problems.py
+++ b/bilberrydrum/problems.py
@@ -1,4 +1,4 @@
-"""Problem documents (RFC 9457): the one form of every error on the HTTP interfaces."""
+"""Problem documents (RFC 9457), the format of all errors on the HTTP interfaces."""
 
 import json
 import math
@@ -10,7 +10,7 @@
 
 CONTENT_TYPE: Final = "application/problem+json"
 
-# What is known of the request itself, whatever became of single attempts.
+# Whether the request itself has run, regardless of the outcome of single attempts.
 OUTCOME_NOT_RUN: Final = "not-run"
 OUTCOME_COMPLETED: Final = "completed"
 OUTCOME_UNKNOWN: Final = "unknown"
@@ -18,21 +18,21 @@
 
 @attrs.frozen
 class Problem:
-    """One error answer."""
+    """The content of one error answer."""
 
     status: int
     reason: reasons.Reason
     detail: str = ""
     outcome: str = OUTCOME_NOT_RUN
-    # When to come back; 0: there is no use in coming back.
+    # Time after which a retry may succeed; 0 if a retry is useless.
     retry_after_seconds: float = 0.0
-    # Findings in a document that was sent, each a map of place and text.
+    # Errors in a document that the client sent, each with its place and a message.
     findings: tuple[Any, ...] = ()
-    # Further members of the document, by name.
+    # Additional members of the document, by name.
     extra: dict[str, Any] = attrs.field(factory=dict)
 
     def to_json(self) -> bytes:
-        """Return the document's bytes."""
+        """Return the document as JSON."""
         document = {
             "type": f"urn:bilberrydrum:{self.reason.value}",
             "title": self.reason.value.replace("-", " "),
@@ -47,7 +47,7 @@
         return json.dumps(document).encode()
 
     def headers(self) -> list[tuple[str, str]]:
-        """Return the headers that go with the document."""
+        """Return the HTTP headers of an answer with this document."""
         headers = [("Content-Type", CONTENT_TYPE)]
         if self.retry_after_seconds > 0:
             headers.append(("Retry-After", str(math.ceil(self.retry_after_seconds))))
@@ -55,7 +55,7 @@
 
 
 class ProblemError(Exception):
-    """Ends the handling of a request with `problem`."""
+    """Raised to end the handling of a request; the answer is `problem`."""
 
     def __init__(self, problem: Problem) -> None:
         super().__init__(problem.detail or problem.reason.value)
--- a/bilberrydrum/reasons.py
+++ b/bilberrydrum/reasons.py
@@ -1,7 +1,7 @@
-"""Why a request was refused, an attempt retried, or a message dropped.
+"""The reasons for refused requests, retried attempts and dropped messages.
 
-This enumeration is shared by the code, the metrics and the documentation: each value
-is a label of `bilberrydrum_refusals_total`, `bilberrydrum_retries_total` or
+The code, the metrics and the documentation share them: each value is a label value of
+`bilberrydrum_refusals_total`, `bilberrydrum_retries_total` or
 `bilberrydrum_drops_total`, and has an entry in docs/OPERATIONS.md.
 """
 
@@ -9,9 +9,9 @@
 
 
 class Reason(enum.StrEnum):
-    """One reason; the value is its label in metrics and problem documents."""
+    """One reason; its value is used in metrics and problem documents."""
 
-    # Refusals at the edge, before the request is read.
+    # Refusals of the HTTP edge, for what it finds in the request itself.
     BODY_TOO_LARGE = "body-too-large"
     HEADERS_TOO_LARGE = "headers-too-large"
     TOO_MANY_CONNECTIONS = "too-many-connections"
@@ -24,7 +24,7 @@
     METHOD_NOT_ALLOWED = "method-not-allowed"
     INTERNAL_ERROR = "internal-error"
 
-    # Refusals of a whole request.
+    # Refusals by admission, routing and idempotency keys.
     SHUTTING_DOWN = "shutting-down"
     BUNDLE_LEASE_EXPIRED = "bundle-lease-expired"
     NO_BUNDLE = "no-bundle"
@@ -47,7 +47,7 @@
     REQUEST_DOUBTFUL = "request-doubtful"
     REQUEST_QUARANTINED = "request-quarantined"
 
-    # Why an attempt at an upstream failed; labels of retries.
+    # Failures of one attempt at an upstream, which may be retried.
     CONNECT_FAILED = "connect-failed"
     CONNECTION_RESET = "connection-reset"
     UPSTREAM_TIMEOUT = "upstream-timeout"
@@ -57,7 +57,7 @@
     ANSWER_TRUNCATED = "answer-truncated"
     ANSWER_MISMATCHED = "answer-mismatched"
 
-    # Bundles and the state group.
+    # Refused changes of bundles and of the state group.
     BUNDLE_INVALID = "bundle-invalid"
     BUNDLE_CONFLICT = "bundle-conflict"
     BUNDLE_NOT_SIGNED_OFF = "bundle-not-signed-off"
@@ -66,7 +66,7 @@
     MEMBERSHIP_REFUSED = "membership-refused"
     SNAPSHOT_INVALID = "snapshot-invalid"
 
-    # Messages between processes that were dropped.
+    # Dropped messages between processes.
     MESSAGE_UNKNOWN_TYPE = "message-unknown-type"
     MESSAGE_NEWER_VERSION = "message-newer-version"
     MESSAGE_DAMAGED = "message-damaged"
@@ -74,11 +74,11 @@
     MESSAGE_STALE_SENDER = "message-stale-sender"
     PEER_UNREACHABLE = "peer-unreachable"
 
-    # Upstreams.
+    # Refused announcements and renewals of upstreams.
     ANNOUNCEMENT_STALE = "announcement-stale"
     UPSTREAM_LEFT = "upstream-left"
 
-    # Samples and weights.
+    # Refusals and failures of samples and weight orders.
     TRAINER_UNKNOWN = "trainer-unknown"
     READER_SUPERSEDED = "reader-superseded"
     BATCH_NOT_READY = "batch-not-ready"
--- a/bilberrydrum/relay/balancing.py
+++ b/bilberrydrum/relay/balancing.py
@@ -125,14 +125,14 @@
     ) -> None:
         """Record an answer: end the backoff, and store the load that it reports."""
         state = self._state_of(upstream_id)
-        state.pause.succeeded()
+        state.pause.record_success()
         if head.n_running is not None:
             state.n_reported = head.n_running + (head.n_waiting or 0)
             state.reported_at = now
 
     def failed(self, upstream_id: str, now: float) -> None:
         """Record that an upstream gave no valid answer, and start its backoff."""
-        self._state_of(upstream_id).pause.failed(now)
+        self._state_of(upstream_id).pause.record_failure(now)
 
     def keep_only(self, upstream_ids: Collection[str]) -> None:
         """Remove upstreams that have left, unless a request is in flight there."""
--- a/bilberrydrum/relay/crash_watch.py
+++ b/bilberrydrum/relay/crash_watch.py
@@ -15,7 +15,7 @@
 import eventlet.event
 import result
 
-from bilberrydrum import clock, counters, line_limit, quarantine
+from bilberrydrum import clock, counters, log_rate_limit, quarantine
 from bilberrydrum.fleet import messages
 from bilberrydrum.relay import crash_reports
 from bilberrydrum.requests import attempts, crash_probe
@@ -115,7 +115,7 @@
         # Index of the group's history that contains what was reported, by fingerprint.
         self._index_by_fingerprint: dict[str, int] = {}
         self._wake = eventlet.event.Event()
-        self._dropped_lines = line_limit.LineLimit()
+        self._dropped_lines = log_rate_limit.LogRateLimit()
         self._task: Any = None
 
     def start(self) -> None:
--- a/bilberrydrum/runtime.py
+++ b/bilberrydrum/runtime.py
@@ -1,8 +1,9 @@
 """Prepare the eventlet runtime before any module that uses sockets is imported.
 
-`prepare` must be the first call of a process. It patches the standard library, so
-that blocking calls yield to the hub, and silences the one warning eventlet prints
-when it is imported. It also lets the hub run on the clock that counts suspended time.
+`prepare` must be called first in a process. It patches the standard library, so that
+blocking calls yield to the hub, and suppresses the deprecation warning that eventlet
+prints at its import. It also makes the hub use the clock that includes the time for
+which the host was suspended.
 """
 
 import contextlib
@@ -16,18 +17,19 @@
 from collections.abc import Iterator
 from typing import Final
 
-# `mallopt`'s number for the size from which a block is mapped by itself (malloc.h).
+# Parameter of `mallopt` for the block size from which `mmap` is used (malloc.h).
 _M_MMAP_THRESHOLD: Final = -3
-# Above the requests and answers of a busy process, below a snapshot's buffers.
+# Larger than the requests and answers of a busy process, smaller than the buffers of a
+# snapshot, which should be mapped.
 _MMAP_THRESHOLD_BYTES: Final = 256 * 1024
-# Writes of the log, of a snapshot, and the reading of one; and one to spare.
+# One thread each for writing the log, writing a snapshot and reading one, and a spare.
 _N_THREADS: Final = 4
 
 
 def prepare() -> None:
     """Patch the standard library for eventlet; later calls do nothing."""
-    # eventlet's own DNS resolver reads the host's configuration at import; addresses
-    # here are IP numbers, so the resolver is left out.
+    # eventlet's DNS resolver reads the host's configuration at import. All addresses
+    # are IP numbers, so the resolver is disabled.
     os.environ.setdefault("EVENTLET_NO_GREENDNS", "yes")
     with warnings.catch_warnings(), _without_asyncio():
         warnings.filterwarnings("ignore", message=r"(?s).*Eventlet is deprecated.*")
@@ -40,11 +42,11 @@
 
 @contextlib.contextmanager
 def _without_asyncio() -> Iterator[None]:
-    """Have eventlet import an empty module in place of asyncio.
+    """Replace asyncio by an empty module while eventlet is imported.
 
-    It needs asyncio for a hub of that name only. After its imports a gateway holds 27.4
-    MB of private memory in place of 28.5 MB, and they take 0.144 s of processor time in
-    place of 0.150 s (the least of 20 runs).
+    eventlet needs asyncio only for its asyncio hub, which is not used. Without asyncio,
+    a gateway has 27.4 MB of private memory after its imports instead of 28.5 MB, and
+    the imports take 0.144 s of processor time instead of 0.150 s.
     """
     if "asyncio" in sys.modules:
         yield
@@ -57,14 +59,13 @@
 
 
 def bound_memory() -> None:
-    """Have freed memory given back; called before `prepare`.
-
-    The C library raises the size from which it maps a block by itself to that of the
-    largest block freed so far. After the first snapshot the buffers of all others come
-    from the heap, which they leave full of holes: 124 MB resident after four snapshots
-    of up to 11 MB, beside 63 MB with the size held (one run each of the same commands,
-    with the library's arenas bounded to two). Few threads, for each may have a heap of
-    its own.
+    """Make the C library return freed memory to the system; call before `prepare`.
+
+    By default the C library raises the size from which it uses `mmap` to that of the
+    largest block freed so far. After the first snapshot, the buffers of all later ones
+    would then come from the heap and fragment it: after four snapshots of up to 11 MB,
+    124 MB were resident instead of 63 MB with a fixed size. The number of threads is
+    limited too, as each thread may have a heap of its own.
     """
     os.environ.setdefault("EVENTLET_THREADPOOL_SIZE", str(_N_THREADS))
     library = ctypes.CDLL(None)
@@ -73,18 +74,19 @@
 
 
 def pause_collection() -> None:
-    """Keep the garbage collector from running while a process is being made.
+    """Disable the garbage collector while a process starts.
 
-    Most of what imports make stays; walking through it again and again is a tenth of
-    the time to start. `process` turns the collector on again.
+    Most objects that imports create are never freed. Traversing them repeatedly takes a
+    tenth of the start time. `nodes.process` enables the collector again.
     """
     gc.disable()
 
 
 def boot_time() -> float:
-    """Return the seconds since the host was started, suspended time included.
+    """Return the seconds since the host booted, including time while suspended.
 
-    The monotonic clock stands still while a host is suspended: the holder of a lease
-    would wake up and go on believing in it, while another holder has been chosen.
+    The monotonic clock stops while a host is suspended. With it, the holder of a lease
+    would still consider the lease valid after a resume, although it has expired and
+    another holder has been chosen.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/bilberrydrum/settings.py
+++ b/bilberrydrum/settings.py
@@ -1,8 +1,8 @@
-"""The daemon's settings: a YAML file read into `options.Options`.
+"""Read the daemon's settings, a YAML file, into `options.Options`.
 
-The keys of the file are the attribute names of the option classes, nested as the
-classes are. Reading, types and unknown keys are the work of `yaml_places`; here are
-the ranges of numbers, a table, and the checks that look at more than one value.
+The keys of the file are the attribute names of the option classes, nested like the
+classes. `yaml_places` parses the file, checks types and reports unknown keys. This
+module defines the ranges of numbers and the checks that involve several values.
 """
 
 import math
@@ -16,12 +16,13 @@
 from bilberrydrum import addresses, findings, options, yaml_places
 
 ROLES: Final = (options.ROLE_GATEWAY, options.ROLE_STATE)
-# A lease is renewed at least this often in its time, so that one lost renewal does
-# not end it.
+# Renewals that must fit into a lease, so that it does not expire because one is lost.
 RENEWALS_PER_LEASE: Final = 3
-# Heartbeats that may be lost before a follower stands for election.
+# Heartbeat intervals that must fit into the election timeout, so that a follower does
+# not start an election because one heartbeat is lost.
 HEARTBEATS_PER_ELECTION: Final = 3
-# An election lasts up to two timeouts, and gateways must hear of the new leader.
+# Election timeouts that must fit into a lease: an election takes up to two of them, and
+# then the gateways must find the new leader.
 ELECTIONS_PER_LEASE: Final = 3
 
 _NAME: Final = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,63}\Z")
@@ -35,7 +36,7 @@
 
 @attrs.frozen
 class Range:
-    """The least and the greatest value of a number, both allowed."""
+    """The smallest and the largest valid value of a number."""
 
     least: float
     greatest: float
@@ -49,7 +50,7 @@
         return f"{self.least:g} to {self.greatest:g}"
 
 
-# Numbers that have no row here must only not be negative.
+# Numbers without a row below may have any value that is not negative.
 ANY_RANGE: Final = Range(0, math.inf)
 RANGES_BY_PATH: Final[dict[yaml_places.Path, Range]] = {
     ("state", "heartbeat_seconds"): Range(0.01, 10),
@@ -91,14 +92,14 @@
     ("shutdown", "limit_seconds"): Range(0, _DAY),
 }
 
-# Pairs of values of which the first, times the factor, must fit into the second.
-_FITS: Final[tuple[tuple[yaml_places.Path, int, yaml_places.Path], ...]] = (
+# Rows of value, factor and limit: the value times the factor must not exceed the limit.
+_LIMIT_PAIRS: Final[tuple[tuple[yaml_places.Path, int, yaml_places.Path], ...]] = (
     (
         ("state", "heartbeat_seconds"),
         HEARTBEATS_PER_ELECTION,
         ("state", "election_timeout_seconds"),
     ),
-    # Otherwise each change of leader would end all gateways' leases.
+    # Otherwise the leases of all gateways would expire at each change of leader.
     (
         ("state", "election_timeout_seconds"),
         ELECTIONS_PER_LEASE,
@@ -129,8 +130,8 @@
         1,
         ("requests", "max_timeout_seconds"),
     ),
-    # Otherwise a claim could be forgotten while its request is under way, and the
-    # result would have no place to be recorded.
+    # Otherwise a claim could be deleted while its request is still running, and the
+    # result could not be recorded.
     (("requests", "max_timeout_seconds"), 1, ("requests", "claim_seconds")),
     (("shutdown", "balancer_seconds"), 1, ("shutdown", "limit_seconds")),
 )
@@ -144,7 +145,7 @@
     Returns
     -------
     result.Result
-        The options, or all findings in the order of their places.
+        The options, or all findings, sorted by line.
     """
     return yaml_places.read_text(path).and_then(lambda text: parse(text, path))
 
@@ -152,7 +153,7 @@
 def parse(
     text: str, file: str
 ) -> result.Result[options.Options, list[findings.Finding]]:
-    """Read settings from `text`; `file` is the name used in findings."""
+    """Read settings from `text`; findings contain `file` as the name of the file."""
     outcome = yaml_places.read(text, file, options.Options)
     if isinstance(outcome, result.Err):
         return outcome
@@ -165,7 +166,7 @@
 def numbers(
     value: Any, path: yaml_places.Path = ()
 ) -> Iterator[tuple[yaml_places.Path, float]]:
-    """Yield path and value of each number among the options."""
+    """Yield the path and the value of each numeric option, recursively."""
     for field in attrs.fields(type(value)):
         field_path = (*path, field.name)
         field_value = getattr(value, field.name)
@@ -270,14 +271,15 @@
         )
 
 
-def _check_fits(reading: _Reading) -> None:
+def _check_limit_pairs(reading: _Reading) -> None:
     numbers_by_path = dict(numbers(reading.value))
-    for path, factor, limit_path in _FITS:
+    for path, factor, limit_path in _LIMIT_PAIRS:
         number, limit = numbers_by_path[path], numbers_by_path[limit_path]
         if number * factor <= limit:
             continue
         bound = limit_path[-1] if factor == 1 else f"{limit_path[-1]} / {factor}"
-        # A value that stands in the file is the one to look at, not a mere default.
+        # The place of a value that the file contains is more useful to the reader than
+        # that of a default, which the file does not contain.
         places = sorted((path, limit_path), key=_is_default_in(reading))
         reading.report(
             f"{path[-1]} must be at most {bound} = {limit / factor:g},"
@@ -289,9 +291,9 @@
 def _check_curve(reading: _Reading) -> None:
     curve = reading.value.curve
     if curve.key_file and not curve.peers_file:
-        reading.report("key_file needs peers_file beside it", ("curve", "key_file"))
+        reading.report("key_file requires peers_file", ("curve", "key_file"))
     if curve.peers_file and not curve.key_file:
-        reading.report("peers_file needs key_file beside it", ("curve", "peers_file"))
+        reading.report("peers_file requires key_file", ("curve", "peers_file"))
 
 
 def _is_default_in(reading: _Reading) -> Callable[[yaml_places.Path], bool]:
@@ -305,6 +307,6 @@
     _check_addresses,
     _check_members,
     _check_state_role,
-    _check_fits,
+    _check_limit_pairs,
     _check_curve,
 )
--- a/bilberrydrum/tokens.py
+++ b/bilberrydrum/tokens.py
@@ -1,4 +1,4 @@
-"""Bearer tokens in files: one line of printable ASCII."""
+"""Read bearer tokens from files that contain one line of printable ASCII."""
 
 import result
 
@@ -6,12 +6,12 @@
 
 
 def read(path: str) -> result.Result[str, list[findings.Finding]]:
-    """Return the token in the file at `path`, without white space round it."""
+    """Return the token in the file at `path`, without surrounding white space."""
     outcome = yaml_places.read_text(path)
     if isinstance(outcome, result.Err):
         return outcome
     token = outcome.ok_value.strip()
-    # An empty token would let everyone in who sends an empty one.
+    # With an empty token, any client that sends an empty one would be authorized.
     if not token:
         return result.Err([findings.Finding(path, 1, 1, "the token is empty")])
     if not (token.isascii() and token.isprintable()) or " " in token:
--- a/bilberrydrum/upstream_protocol.py
+++ b/bilberrydrum/upstream_protocol.py
@@ -1,7 +1,7 @@
-"""What the product needs of the protocol that a deployment's upstreams speak.
+"""The interface of adapters for the protocol of a deployment's upstreams.
 
-The names of headers, calls and fields belong to the deployment. An adapter decodes them
-into the types here, once, and nothing else knows them.
+The deployment defines the names of headers, calls and fields. Only its adapter knows
+these names; it translates between them and the types defined here.
 """
 
 from collections.abc import Mapping
@@ -12,64 +12,67 @@
 
 @attrs.frozen
 class Attempt:
-    """The facts that are put on a request sent to an upstream."""
+    """The values that are sent to an upstream with a request."""
 
-    # The caller's id for its own attempt; the upstream's answer names it.
+    # Id of this attempt; the upstream's answer repeats it.
     request_id: str
-    # Name of the only upstream that may run it: addresses are taken over by others.
+    # Name of the only upstream that may run the request. Its address alone is not
+    # enough, as another upstream may have taken it over.
     announced_id: str
-    # Time that is left, in seconds.
+    # Seconds until the request's deadline.
     remaining_seconds: float
-    # The last event that was read of an earlier answer; None: from the start.
+    # Number of the last event received so far; None to stream from the beginning.
     last_event_number: int | None = None
-    # Rank at the engine, 0 first; None: the engine's own default.
+    # Priority at the engine, 0 being the highest; None for the engine's default.
     priority: int | None = None
-    # Account that the request belongs to, whatever its sender claims; empty: none.
-    # None: the deployment has no accounts, and a sender's headers are its own affair.
+    # Account of the request, which replaces any that its sender gives; empty if it has
+    # none. If None, the deployment has no accounts, and the sender's headers are kept.
     account: str | None = None
 
 
 @attrs.frozen
 class AnswerHead:
-    """What an upstream's answer says about itself."""
+    """The metadata in the headers of an upstream's answer."""
 
-    # The request that it answers; empty: not said.
+    # Id of the request that is answered; empty if unknown.
     request_id: str = ""
-    # It bears the upstream's own mark; without one it is not the upstream's answer.
+    # Whether it has the upstream's signature; otherwise another program answered.
     is_genuine: bool = True
-    # That mark, by which the upstream can show that it gave the answer; empty: none.
+    # The signature, which proves that the upstream gave the answer; empty if none.
     signature: str = ""
-    # The upstream promises that the request did not run.
+    # Whether the upstream guarantees that the request did not run.
     was_not_run: bool = False
-    # Weight version of the first event; None: not said.
+    # Weight version of the first event; None if unknown.
     version: int | None = None
-    # Requests that run, and that wait, at the upstream; None: not said.
+    # Numbers of running and waiting requests at the upstream; None if unknown.
     n_running: int | None = None
     n_waiting: int | None = None
-    # Time for which it keeps an idle connection, in seconds; 0: not said.
+    # Time in seconds for which it keeps an idle connection open; 0 if unknown.
     idle_seconds: float = 0.0
 
 
 @attrs.frozen
 class WeightOrder:
-    """An order to serve another version of a model's weights."""
+    """An order to an engine to switch to another version of a model's weights."""
 
     model: str
     version: int
-    # Whether running requests go on under the new version, or end first.
+    # Whether running requests continue with the new version; otherwise the engine
+    # finishes them first.
     keeps_running: bool
-    # Who gives it, and the number that only ever rises from holder to holder.
+    # The sender, which holds the controller lease, and its fencing number, which is
+    # higher for each new holder.
     holder: str
     fencing_number: int
-    # Number of orders that the upstream must have taken so far.
+    # Number of orders that the upstream must have accepted before this one.
     expected_sequence: int
-    # Name of the only upstream that may take it.
+    # Name of the only upstream that may accept it.
     announced_id: str
 
 
 @attrs.frozen
 class OrderMessage:
-    """An HTTP request that carries an order or asks for a report."""
+    """An HTTP request that contains an order or requests a report."""
 
     method: str
     target: str
@@ -79,52 +82,53 @@
 
 @attrs.frozen
 class EngineReport:
-    """An engine's own account, a little old."""
+    """An engine's report of its state, which may be slightly outdated."""
 
     versions_by_model: dict[str, int]
-    # An order is being carried out.
+    # Whether the engine is executing an order.
     is_busy: bool
-    # Number of orders that it has taken since its start.
+    # Number of orders that it has accepted since its start.
     sequence: int
     n_running: int = 0
     n_waiting: int = 0
-    # Tokens in its memory that cannot yield, and all that it holds.
+    # Tokens in its cache that cannot be evicted, and the capacity of the cache.
     n_cache_used: int = 0
     n_cache_total: int = 0
-    # Unix time of its start, in milliseconds; None: not told.
+    # Unix time of its start in milliseconds; None if unknown.
     started_at_ms: int | None = None
 
 
 class UpstreamProtocol(Protocol):
-    """Kept by the deployment's adapter."""
+    """Translates messages to and from upstreams; implemented by the adapter."""
 
-    # Header by which answers name the request that they belong to.
+    # Header of answers that contains the id of the request.
     request_id_header: str
-    # Field by which an event of a stream tells a change of the weight version.
+    # Field of a stream's events that contains a new weight version.
     version_field: str
 
     def relay_headers(
         self, headers: Mapping[str, str], attempt: Attempt
     ) -> dict[str, str]:
-        """Return the headers of a request that is passed on."""
+        """Return the headers with which a request is sent to an upstream."""
 
     def identity_of(self, headers: Mapping[str, str]) -> str:
-        """Return who asks and for what, as far as a request's headers tell.
+        """Return a text that identifies the caller and what it requests.
 
-        The same at each attempt of a caller, and at any gateway.
+        It depends on the request's headers only, and is the same for all attempts of a
+        caller and at all gateways.
         """
 
     def last_event_number(self, headers: Mapping[str, str]) -> int | None:
-        """Return the event after which a caller wants its stream to go on."""
+        """Return the event after which a caller wants to resume; None for no resume."""
 
     def read_head(self, headers: Mapping[str, str]) -> AnswerHead:
-        """Return what the headers of an answer say."""
+        """Parse the headers of an answer."""
 
     def order(self, order: WeightOrder) -> OrderMessage:
-        """Return the request that gives `order`."""
+        """Return the HTTP request that sends `order`."""
 
-    def ask_report(self, announced_id: str) -> OrderMessage:
-        """Return the request that asks for an engine's report."""
+    def report_request(self, announced_id: str) -> OrderMessage:
+        """Return the HTTP request for an engine's report."""
 
     def read_report(self, body: bytes) -> EngineReport | None:
-        """Return the report in an answer's body; None: it cannot be read."""
+        """Return the report in an answer's body, or None if it is invalid."""
--- a/bilberrydrum/usage/reporter.py
+++ b/bilberrydrum/usage/reporter.py
@@ -223,9 +223,9 @@
         if reply.status == _CONFLICT and numbers:
             self._tenure.was_refused(numbers[0])
         if reply.status != _OK:
-            self._pause.failed(clock.now())
+            self._pause.record_failure(clock.now())
             return False
-        self._pause.succeeded()
+        self._pause.record_success()
         return True
 
     def _prepare(
--- a/bilberrydrum/yaml_places.py
+++ b/bilberrydrum/yaml_places.py
@@ -1,11 +1,12 @@
-"""Read a YAML document into attrs classes and keep the place of every value.
+"""Read a YAML document into attrs classes, with the place of every value.
 
-The document is composed into YAML's node tree, which knows lines and columns, and the
-tree is walked along the fields of an attrs class. A fault is noted with its place and
-the walk goes on with the field's default, so that one reading finds all faults. The
-caller adds its own checks by `Reading.report` and ends with `Reading.finish`.
+A place is a line and a column. The document is parsed into a tree of YAML nodes, which
+have places, and the tree is traversed along the fields of an attrs class. An error is
+recorded with its place, and the traversal continues with the field's default, so that
+all errors are found at once. The caller adds the errors of its own checks by
+`Reading.report` and then calls `Reading.finish`.
 
-Field types understood: str, bool, int, float, tuple[X, ...], dict[str, X] and attrs
+Supported field types: str, bool, int, float, tuple[X, ...], dict[str, X] and attrs
 classes.
 """
 
@@ -24,7 +25,7 @@
 
 T = TypeVar("T")
 
-# Keys and indexes from the root of the document to a value.
+# The keys and list indexes that lead from the root of the document to a value.
 Path = tuple[str | int, ...]
 
 _TAG: Final = "tag:yaml.org,2002:"
@@ -42,33 +43,34 @@
 )
 _INTEGER: Final = re.compile(r"[-+]?(0|[1-9][0-9]*)\Z")
 _NUMBER: Final = re.compile(r"[-+]?([0-9]+\.?[0-9]*|\.[0-9]+)([eE][-+]?[0-9]+)?\Z")
-# Longest run of digits taken as a number; Python refuses far longer ones.
+# Most characters of a number. For thousands of digits, `int` raises an error.
 _MAX_DIGITS: Final = 40
-# What stands in for a required value that is missing or wrong, by its type.
+# Placeholder for a required value that is missing or invalid, by its type.
 _EMPTY_BY_TYPE: Final[dict[Any, Any]] = {str: "", bool: False, int: 0, float: 0.0}
 
 
 @attrs.define
 class Reading(Generic[T]):
-    """A document that was read: its value, and what was found so far.
+    """The value of a document, and the errors found in it so far.
 
-    `value` is whole even when there are findings; faulty fields hold their defaults.
-    It is meant for further checks and must not be used before `finish`.
+    `value` is complete even if there are findings: invalid fields have their default.
+    It is meant for further checks, and must not be used otherwise before `finish`.
     """
 
     file: str
     value: T
     found: list[findings.Finding] = attrs.field(factory=list)
-    # Line and column of each value, by its path.
+    # Line and column of each value, by path.
     places_by_path: dict[Path, tuple[int, int]] = attrs.field(factory=dict)
-    # Values that are wrong in themselves.
+    # Paths of the values that are missing or have the wrong type.
     faulty_paths: set[Path] = attrs.field(factory=set)
 
     def report(self, message: str, path: Path, *involved: Path) -> None:
-        """Note a fault of the value at `path`.
+        """Record an error of the value at `path`.
 
-        It is left out if that value, or one of those `involved`, is faulty already:
-        what stands there now is a default that nobody wrote.
+        It is not recorded if that value, or one of those at the `involved` paths, is
+        already known to be faulty. Such a value was replaced by a default, so an error
+        about it would not be about the document.
         """
         if any(self._is_faulty(each) for each in (path, *involved)):
             return
@@ -76,13 +78,13 @@
         self.found.append(findings.Finding(self.file, line, column, message))
 
     def place(self, path: Path) -> tuple[int, int]:
-        """Return line and column of the value, or of what it is missing from."""
+        """Return line and column of the value, or of its parent if it is missing."""
         while path and path not in self.places_by_path:
             path = path[:-1]
         return self.places_by_path.get(path, (1, 1))
 
     def finish(self) -> result.Result[T, list[findings.Finding]]:
-        """Return the value, or all findings in order."""
+        """Return the value, or all findings, sorted by place."""
         if self.found:
             return result.Err(findings.in_order(self.found))
         return result.Ok(self.value)
@@ -108,8 +110,8 @@
     Returns
     -------
     result.Result
-        The reading, which may hold findings already; or the findings of a text that
-        is not one YAML mapping.
+        The reading, which may contain findings; or the finding in a text that is not
+        a YAML mapping.
     """
     try:
         root = yaml.compose(text, Loader=yaml.SafeLoader)
@@ -137,12 +139,12 @@
 def read_file(
     path: str, cls: type[T]
 ) -> result.Result[Reading[T], list[findings.Finding]]:
-    """Read the file at `path` as `read` does; a file that can't be is a finding."""
+    """Read the file at `path` like `read`; an unreadable file is a finding."""
     return read_text(path).and_then(lambda text: read(text, path, cls))
 
 
 def read_text(path: str) -> result.Result[str, list[findings.Finding]]:
-    """Return the text of a UTF-8 file, or why it can't be read."""
+    """Return the text of a UTF-8 file, or the reason why it cannot be read."""
     try:
         with open(path, "rb") as file:
             data = file.read()
@@ -158,7 +160,7 @@
 
 
 class _Walk:
-    """One walk over a node tree along the fields of a class."""
+    """One traversal of a node tree along the fields of a class."""
 
     def __init__(self, file: str) -> None:
         self.file = file
@@ -167,11 +169,11 @@
         self.faulty_paths: set[Path] = set()
 
     def read_class(self, node: yaml.Node, cls: type[T], path: Path) -> T:
-        """Return an instance of `cls` made from a mapping."""
+        """Return an instance of `cls` with the values of a mapping node."""
         if not isinstance(node, yaml.MappingNode):
             self._expected("a mapping", node, path)
             return typing.cast(T, _empty(cls))
-        self._note(node, path)
+        self._record_place(node, path)
         fields_by_name = attrs.fields_dict(typing.cast(Any, cls))
         hints = typing.get_type_hints(cls)
         values: dict[str, Any] = {}
@@ -191,7 +193,7 @@
         return cls(**values)
 
     def _read(self, node: yaml.Node, hint: Any, path: Path) -> Any:
-        self._note(node, path)
+        self._record_place(node, path)
         origin = typing.get_origin(hint)
         if origin is tuple:
             return self._read_list(node, typing.get_args(hint)[0], path)
@@ -229,7 +231,7 @@
     def _items(
         self, node: yaml.MappingNode, path: Path
     ) -> Iterator[tuple[str, yaml.Node, yaml.Node]]:
-        """Yield key, key's node and value's node; report keys that are no use."""
+        """Yield key, key node and value node; report invalid and duplicate keys."""
         lines_by_name: dict[str, int] = {}
         for key_node, value_node in node.value:
             if not isinstance(key_node, yaml.ScalarNode):
@@ -239,12 +241,12 @@
             line, _ = _place_of(key_node)
             if name in lines_by_name:
                 first = lines_by_name[name]
-                self._report(key_node, f"key {name!r} stands on line {first} already")
+                self._report(key_node, f"key {name!r} is on line {first} already")
                 continue
             lines_by_name[name] = line
             yield name, key_node, value_node
 
-    def _note(self, node: yaml.Node, path: Path) -> None:
+    def _record_place(self, node: yaml.Node, path: Path) -> None:
         self.places_by_path[path] = _place_of(node)
 
     def _expected(self, expected: str, node: yaml.Node, path: Path) -> None:
@@ -256,18 +258,18 @@
 
 
 def _scalar(node: yaml.Node, hint: Any) -> tuple[str, Any]:
-    """Return what is expected, and the value or None."""
-    # Quoted scalars are strings, whatever they look like.
+    """Return a description of the expected type, and the value or None."""
+    # A quoted scalar is a string, even if it looks like a number.
     plain = ""
     if isinstance(node, yaml.ScalarNode) and node.style is None:
         plain = node.value[: _MAX_DIGITS + 1]
     if hint is str:
         return "a string", node.value if node.tag == f"{_TAG}str" else None
     if hint is bool:
-        # YAML 1.1 also takes yes, on and their like, which are easily misread.
+        # YAML 1.1 also accepts words such as yes and on, which are easily misread.
         return "true or false", {"true": True, "false": False}.get(plain.lower())
-    # YAML 1.1 reads 010 as 8 and 1:30 as 90; neither is what its writer meant, so
-    # numbers are read as plain decimals.
+    # YAML 1.1 reads 010 as 8 and 1:30 as 90, which is hardly ever intended. Only plain
+    # decimals are accepted.
     is_short = len(plain) <= _MAX_DIGITS
     if hint is int:
         is_number = is_short and _INTEGER.match(plain)
@@ -292,12 +294,12 @@
 
 
 def _hint(name: str, fields_by_name: dict[str, Any]) -> str:
-    """Return a remark on the known key that `name` may have been meant for."""
-    close = [known for known in fields_by_name if _is_alike(name, known)]
+    """Return a hint at a known key with a similar spelling, or an empty string."""
+    close = [known for known in fields_by_name if _is_similar(name, known)]
     return f"; did you mean {close[0]!r}?" if close else ""
 
 
-def _is_alike(name: str, known: str) -> bool:
+def _is_similar(name: str, known: str) -> bool:
     strip = str.maketrans("", "", "-_ ")
     return name.lower().translate(strip) == known.translate(strip)
 
--- a/tests/fakes/node_protocol.py
+++ b/tests/fakes/node_protocol.py
@@ -42,7 +42,7 @@
         body = json.dumps(attrs.asdict(order)).encode()
         return upstream_protocol.OrderMessage("POST", "/order", {}, body)
 
-    def ask_report(self, announced_id):
+    def report_request(self, announced_id):
         return upstream_protocol.OrderMessage("GET", "/report", {})
 
     def read_report(self, body):
--- a/tests/stored_values.py
+++ b/tests/stored_values.py
@@ -1,10 +1,10 @@
 """Values of every class that the codec writes, encoded by a released build.
 
 ``python -m tests.stored_values FILE`` writes the file that tests/test_stored_data.py
-reads. It is run on the release whose logs, snapshots and messages the next one must
-read, never on the build that is tested: a renamed field or enum value would go
-unnoticed. Each class has one value with all fields filled, and further ones so that
-each member of its enums occurs once.
+reads. Run it on the release whose logs, snapshots and messages the next one must read,
+and never on the build under test, where a renamed field or enum value would not be
+noticed. Each class has one value with all fields set, and further ones so that each
+member of its enums occurs once.
 """
 
 import enum
@@ -34,19 +34,19 @@
 
 
 def import_all() -> None:
-    """Import every module of the package, so that each class is registered."""
+    """Import all modules of the package, so that all classes are registered."""
     for found in pkgutil.walk_packages(bilberrydrum.__path__, "bilberrydrum."):
         if not found.name.endswith("__main__"):
             importlib.import_module(found.name)
 
 
 def samples(kind: Any) -> list[Any]:
-    """Return values of a field's type that together have each enum member once.
+    """Return values of a field's type that together include each enum member.
 
     Raises
     ------
     TypeError
-        If the type is of a kind that no stored class has had so far.
+        If there is no rule for the type yet.
     """
     origin, parts = typing.get_origin(kind), typing.get_args(kind)
     if kind is Any:
@@ -73,14 +73,14 @@
 
 
 def _rows(columns: list[list[Any]]) -> Iterator[tuple[Any, ...]]:
-    """Yield rows in which each value of each column occurs, the shorter ones again."""
+    """Yield rows with all values of each column; shorter columns are repeated."""
     n_rows = max((len(column) for column in columns), default=0)
     cycles = [itertools.islice(itertools.cycle(each), n_rows) for each in columns]
     return zip(*cycles, strict=True)
 
 
 def instances(cls: type[Any]) -> list[Any]:
-    """Return instances of an attrs class, all fields filled."""
+    """Return instances of an attrs class with all fields set."""
     attrs.resolve_types(cls)
     fields = [each for each in attrs.fields(cls) if each.init]
     if not fields:
@@ -91,7 +91,7 @@
 
 
 def classes_by_name() -> dict[str, type[Any]]:
-    """Return the registered classes of the package."""
+    """Return the registered classes of the package, by codec name."""
     import_all()
     return {
         name: cls
@@ -101,7 +101,7 @@
 
 
 def write(path: pathlib.Path) -> None:
-    """Write the encoded values, by the codec's name of their class."""
+    """Write the encoded values, by codec name of their class."""
     encoded = {
         name: [codec.encode(value).hex() for value in instances(cls)]
         for name, cls in classes_by_name().items()
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""One daemon as a process: how it starts, fails to start, drains and stops."""
+"""Tests of the daemon as a process: start, failed start, draining and stop."""
 
 import pathlib
 import signal
@@ -12,7 +12,7 @@
 
 from misc import loopback, processes
 
-# Longer than any machine needs; no test waits for it unless it fails.
+# Long enough for a slow machine; only a failing test waits for all of it.
 DEADLINE_SECONDS = 60.0
 
 
@@ -55,10 +55,10 @@
         processes.wait_for(condition, DEADLINE_SECONDS, what)
 
     def test_address_in_use_ends_the_process_with_an_error(self):
-        """The HTTP address is taken by another program: the start must not go on.
+        """The HTTP address is in use by another program, so the start must fail.
 
-        A process that ran without its HTTP server would look alive to its peers and
-        serve nobody.
+        If the process continued without its HTTP server, its peers would consider it
+        healthy, but it could serve no request.
         """
         host, port = self.http.split(":")
         with socket.create_server((host, int(port))):
@@ -72,8 +72,12 @@
         self.assertEqual(process.popen.wait(DEADLINE_SECONDS), 2)
         self.assertIn("absent/log: error: cannot be opened", process.log_tail())
 
-    def test_without_quorum_it_lives_is_not_ready_and_stops_when_told(self):
-        """Two of three members are away: an operator can look, callers are refused."""
+    def test_without_quorum_it_is_healthy_but_not_ready_and_can_be_stopped(self):
+        """Two of three members are down, so the state group has no quorum.
+
+        Operators must still see the status of the group, and callers must be refused
+        with an outcome of not-run.
+        """
         self.settings["state"]["members"] += [
             {"process_id": f"gw-{i}", "peer_address": address}
             for i, address in enumerate(self.absent, 2)
@@ -104,8 +108,8 @@
         self.assertEqual(code, 2)
         self.assertEqual(printed.count("error:"), 2, printed)
 
-    def ask_slowly(self):
-        """Begin a request whose body comes later; return its connection."""
+    def send_partial_request(self):
+        """Send a request without the end of its body; return the connection."""
         host, port = self.http.split(":")
         connection = socket.create_connection((host, int(port)))
         self.addCleanup(connection.close)
@@ -115,20 +119,20 @@
         return connection
 
     def drain(self, process):
-        """Send SIGTERM and wait until the listening socket is closed."""
+        """Send SIGTERM during a request; wait until the listening socket is closed."""
         self.wait_for(lambda: self.get("/healthz") == 200, "healthz")
-        connection = self.ask_slowly()
-        # A request that is answered shows that the earlier connection is served too.
+        connection = self.send_partial_request()
+        # The answer to a later request shows that the earlier connection was accepted.
         self.assertEqual(self.get("/healthz"), 200)
         process.send(signal.SIGTERM)
         self.wait_for(lambda: self.get("/healthz") == 0, "listening socket closed")
         return connection
 
-    def test_request_in_flight_at_shutdown_gets_its_whole_answer(self):
-        """SIGTERM comes in the middle of a request; it must not be cut off.
+    def test_request_in_flight_at_shutdown_gets_its_complete_answer(self):
+        """SIGTERM arrives during a request, which must still be answered completely.
 
-        A client that comes meanwhile is refused its connection at once: if the kernel
-        took it, the client would wait until the last request has ended.
+        New connections must be refused at once: if the kernel accepted them, their
+        clients would wait until the last request in flight has ended.
         """
         self.settings["limits"] = {"read_timeout_seconds": 60}
         process = self.start()
@@ -142,8 +146,11 @@
         self.assertIn(f"Content-Length: {len(body)}".encode(), head)
         self.assertEqual(process.popen.wait(DEADLINE_SECONDS), 0)
 
-    def test_second_signal_ends_the_waiting(self):
-        """A request never ends; the operator sends SIGTERM again and means it."""
+    def test_second_signal_stops_waiting_for_requests(self):
+        """A request never ends, and the operator sends SIGTERM again.
+
+        Without a reaction to the second signal, the process would wait for its limit.
+        """
         self.settings["limits"] = {"read_timeout_seconds": 600}
         process = self.start()
         self.drain(process)
--- a/tests/test_first_steps.py
+++ b/tests/test_early_signals.py
@@ -1,4 +1,4 @@
-"""The first moments of a process: what a signal does before there is a handler."""
+"""A signal that arrives while a process starts, before its handler is installed."""
 
 import os
 import pathlib
@@ -38,8 +38,8 @@
 """
 
 
-class Process(unittest.TestCase):
-    """A real gateway that reaches nobody."""
+class EarlySignals(unittest.TestCase):
+    """A gateway as a real process, with no other process to connect to."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -68,10 +68,14 @@
     def has_output(self, seconds):
         return bool(select.select([self.process.stdout], [], [], seconds)[0])
 
-    def test_hangup_before_there_is_a_handler(self):
-        """Settings change while a process starts, and a signal tells it so."""
+    def test_sighup_before_the_handler_is_installed(self):
+        """The settings change during the start, which is reported by SIGHUP.
+
+        By default, SIGHUP ends a process that has not installed a handler.
+        """
         deadline = time.monotonic() + START_SECONDS
-        # The interpreter itself needs some hundredths of a second.
+        # Until the interpreter runs the first line, nothing can ignore the signal. That
+        # takes some hundredths of a second.
         time.sleep(0.1)
         while not self.has_output(0.02) and time.monotonic() < deadline:
             self.process.send_signal(signal.SIGHUP)
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -203,7 +203,7 @@
         own = options.LimitOptions(max_header_bytes=512, max_body_bytes=100)
         app = edge.Edge(own, {})
         for limits in (first, *later):
-            app.take_limits(*limits)
+            app.apply_limits(*limits)
         taken = app._limits
         found = (taken.max_header_bytes, taken.max_body_bytes)
         self.assertEqual(found, expected, name)
--- a/tests/test_findings.py
+++ b/tests/test_findings.py
@@ -1,4 +1,4 @@
-"""Findings: order and printed form."""
+"""Tests of findings: order and text form."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class TestFindings(unittest.TestCase):
-    def test_sorted_by_place_and_said_once(self):
+    def test_sorted_by_place_without_duplicates(self):
         late = findings.Finding("a.yaml", 10, 2, "late")
         early = findings.Finding("a.yaml", 9, 7, "early")
         found = findings.in_order([late, early, late])
@@ -16,6 +16,6 @@
             "a.yaml:9:7: error: early\na.yaml:10:2: error: late",
         )
 
-    def test_finding_without_place_names_the_file_alone(self):
+    def test_finding_without_place_names_only_the_file(self):
         finding = findings.Finding("a.yaml", 0, 0, "cannot be read")
         self.assertEqual(str(finding), "a.yaml: error: cannot be read")
--- a/tests/test_keys.py
+++ b/tests/test_keys.py
@@ -1,4 +1,4 @@
-"""Key files, peers files and token files."""
+"""Tests of key files, peers files and token files."""
 
 import os
 import pathlib
@@ -29,7 +29,8 @@
 
     def test_written_keys_are_read_back_and_only_their_owner_may_read_them(self):
         for _ in range(50):
-            # Z85 uses most punctuation; each key must survive the quoting.
+            # Z85 text may contain most punctuation characters, which a wrong quoting in
+            # the file would change.
             pair = keys.generate()
             self.assertTrue(keys.write(str(self.key_file), pair).is_ok())
             self.assertEqual(keys.read_pair(str(self.key_file)).ok_value, pair)
@@ -100,7 +101,7 @@
         (finding,) = self.load().err_value
         self.assertIn("is not the public key", finding.message)
 
-    def test_no_files_no_keys(self):
+    def test_without_files_there_are_no_keys(self):
         self.assertIsNone(curve.load(options.Options("a")).ok_value)
 
 
@@ -118,7 +119,7 @@
             (finding,) = tokens.read(file.name).err_value
         self.assertIn(message, finding.message)
 
-    def test_white_space_round_the_token_is_not_part_of_it(self):
+    def test_surrounding_white_space_is_not_part_of_the_token(self):
         with tempfile.NamedTemporaryFile() as file:
             file.write(b"s3cret\n")
             file.flush()
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""Two runs on one machine never hold the same port."""
+"""Test runs on the same machine must not draw the same ports."""
 
 import subprocess
 import sys
@@ -11,7 +11,8 @@
 from misc import loopback, processes
 
 N_PORTS = 60
-# Few enough that two runs which know nothing of each other draw many ports twice.
+# The range of ports is so small that two runs without coordination would draw many
+# ports twice.
 DRAW = f"""
 from misc import loopback
 loopback.LAST_PORT = loopback.FIRST_PORT + {3 * N_PORTS}
@@ -21,14 +22,14 @@
 
 
 class FreePortsTest(unittest.TestCase):
-    def test_port_of_a_process_that_is_down_is_not_given_to_another_run(self):
-        """A killed gateway comes back on its port, whatever ran beside it meanwhile.
-
-        A run draws its ports, and listens on them only once its processes run; while
-        one of these is down, nothing listens on its port. A second run drew that port
-        in the meantime, and the process ended at its start: "zmq.error.ZMQError:
-        Address already in use". Its deployment was not served from then on, and each
-        later test waited for its whole deadline.
+    def test_port_of_a_stopped_process_is_not_drawn_by_another_run(self):
+        """A killed gateway restarts on its port while another run is active.
+
+        A run draws its ports in advance, and nothing listens on the port of a process
+        that is down. If a second run draws that port in the meantime, the process
+        fails at its restart with "zmq.error.ZMQError: Address already in use". Its
+        deployment then serves no more requests, and each later test waits until its
+        deadline.
         """
         with subprocess.Popen(
             [sys.executable, "-c", DRAW],
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""The operators' page explains each reason, metric and exit code there is."""
+"""The operators' page must explain each reason, metric and type of log line."""
 
 import json
 import pathlib
@@ -9,7 +9,7 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PAGE = (ROOT / "docs" / "OPERATIONS.md").read_text()
-# A row of a table of reasons: its reason, how it is counted, meaning, what to do.
+# A row of a table of reasons: the reason, how it is counted, its meaning, what to do.
 ROW = re.compile(r"^\| `([a-z-]+)` \| ([RTD, ]+) \| (.+) \| (.+) \|$", re.MULTILINE)
 METRIC = re.compile(r"\"(bilberrydrum_[a-z_]+)\"")
 LINK = re.compile(r"\]\(([A-Za-z./]*)#?([a-z0-9-]*)\)")
@@ -45,7 +45,7 @@
 
 
 class TestLogLines(unittest.TestCase):
-    """The lines on the page are lines that the program writes."""
+    """The log lines on the page must be lines that the program writes."""
 
     LINE = re.compile(r"^ *(\{\"[a-z_]+\": .*\"message_type\": \"[a-z:-]+\"\})$", re.M)
     CALL = re.compile(r"eliot\.log_message\(.*?\n? *\)\n", re.S)
--- a/tests/test_proofs.py
+++ b/tests/test_proofs.py
@@ -1,4 +1,4 @@
-"""docs/PROOFS.md names, for each promise and each failure, tests that exist."""
+"""docs/PROOFS.md must list existing tests for each promise and each failure."""
 
 import ast
 import pathlib
@@ -39,7 +39,7 @@
 
 
 def existing_ids():
-    """Return the ids of all tests in the tree, without running or importing them."""
+    """Return the ids of all tests in the tree, without importing them."""
     ids = set()
     for path in (ROOT / "tests").glob("test_*.py"):
         for node in ast.parse(path.read_text()).body:
@@ -52,7 +52,7 @@
 
 
 def is_stateful(node):
-    """Tell whether a class is the test case of a hypothesis state machine."""
+    """Return whether a class is the test case of a hypothesis state machine."""
     return any(
         isinstance(base, ast.Attribute)
         and base.attr == "TestCase"
@@ -62,7 +62,7 @@
 
 
 def find_faults(text, ids):
-    """Return what is wrong with a page that may name the tests `ids`."""
+    """Return the errors of a page that may refer to the tests `ids`."""
     faults = []
     tables = read_tables(text)
     if len(tables) != N_PROMISES:
@@ -77,7 +77,7 @@
 
 
 def check_lists(text, ids):
-    """Return the tests that the page's lists name and that are not there."""
+    """Return errors for tests in the page's lists that do not exist."""
     items = [line for line in text.splitlines() if line.startswith("- ")]
     named = [each for item in items for each in TEST_ID.findall(item)]
     return [f"no test {each}" for each in named if each not in ids]
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The first bundle by hand, as README tells it, against a real daemon."""
+"""Run the steps of README.md for a first bundle against a real daemon."""
 
 import contextlib
 import io
@@ -98,7 +98,7 @@
         daemon.send_signal(signal.SIGTERM)
         self.assertEqual(daemon.wait(START_SECONDS), 0)
 
-    def test_every_file_that_the_readme_names_is_there(self):
+    def test_every_file_in_the_readme_exists(self):
         names = re.findall(r"\b(?:examples|docs|misc)/[\w./-]*\w", README)
         self.assertGreater(len(names), 8)
         for name in names:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: every fault is found, with its place, and all are reported together."""
+"""Tests of settings: all errors are reported together, each with its place."""
 
 import pathlib
 import tempfile
@@ -15,7 +15,7 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 EXAMPLES = sorted((ROOT / "examples").rglob("*.yaml"))
 
-# Name, text, and what is found: place and a part of the message.
+# Name, text, and expected findings: the place and a part of the message.
 BAD = (
     ("empty", "", ["1:1 the document is empty"]),
     ("a list", "- process_id: a\n", ["1:1 expected a mapping, found a list"]),
@@ -33,7 +33,7 @@
     (
         "duplicate key",
         "process_id: a\ngroup: b\nprocess_id: c\n",
-        ["3:1 key 'process_id' stands on line 1 already"],
+        ["3:1 key 'process_id' is on line 1 already"],
     ),
     ("key that is a list", "process_id: a\n? [b]\n: c\n", ["2:3 cannot be a list"]),
     ("merge key", "process_id: a\n<<: {group: b}\n", ["2:1 unknown key '<<'"]),
@@ -147,7 +147,7 @@
 
 
 def found_in(text):
-    """Return findings, but for the data folder that most short texts lack."""
+    """Return the findings, except that on the data folder, which most texts lack."""
     outcome = settings.parse(text, "s.yaml")
     found = outcome.err_value if outcome.is_err() else []
     return [finding for finding in found if "data_folder" not in finding.message]
@@ -202,7 +202,7 @@
 
 
 class TestFiles(unittest.TestCase):
-    def test_file_that_is_missing(self):
+    def test_missing_file(self):
         found = settings.load("/nonexistent/s.yaml").err_value
         self.assertEqual(
             findings.report(found),
--- a/tests/test_settings_process.py
+++ b/tests/test_settings_process.py
@@ -1,4 +1,4 @@
-"""The daemon says what is wrong with its settings, and opens nothing."""
+"""With faulty settings, the daemon prints all errors and opens no file or socket."""
 
 import contextlib
 import io
@@ -30,14 +30,16 @@
     @tools.params(
         ("a fault", SETTINGS + "rolls: []\n", ["settings.yaml:3:1: error: unknown"]),
         (
-            "two token files and a key file that are not there",
+            "two token files and both key files that do not exist",
             SETTINGS + "gateway: {operator_token_file: FOLDER/o,"
             " upstream_token_file: FOLDER/u}\n"
             "curve: {key_file: FOLDER/k, peers_file: FOLDER/p}\n",
             [f"/{name}: error: cannot be read" for name in "kopu"],
         ),
     )
-    def test_faults_end_the_daemon_before_it_opens_anything(self, name, text, lines):
+    def test_faulty_settings_stop_the_daemon_before_it_opens_anything(
+        self, name, text, lines
+    ):
         for words in ((), ("--check",)):
             code, err = self.run_daemon(text, *words)
             self.assertEqual(code, 2, err)
--- a/tests/test_stored_data.py
+++ b/tests/test_stored_data.py
@@ -1,8 +1,8 @@
-"""Data that the last release wrote is read by this one.
+"""This release must read the data that the last release wrote.
 
-A field of a stored class or a value of an enum that gets another name is read back as
-its default, without an error: state is lost, and replicas of two releases differ.
-tests/stored/README.md tells how the files were made.
+If a field of a stored class or a value of an enum is renamed, the default is read in
+place of the stored value, without an error: state is lost, and replicas of two releases
+differ. tests/stored/README.md describes how the files were made.
 """
 
 import json
@@ -23,7 +23,7 @@
 
 
 class TestValues(unittest.TestCase):
-    """Each class that leaves the process, one value or more of each."""
+    """One or more values of each class that the codec writes."""
 
     @classmethod
     def setUpClass(cls):
@@ -40,7 +40,7 @@
 
 
 class TestFolders(unittest.TestCase):
-    """Logs of a control process, a store and a daemon, applied from the start."""
+    """Logs of a control process, a store and a daemon, applied from the first entry."""
 
     @tools.params(*STATES)
     def test_log_gives_the_same_state(self, name):
