--- a/bilberrydrum/http/__init__.py
+++ b/bilberrydrum/http/__init__.py
@@ -1,1 +1,1 @@
-"""The WSGI edge for callers, upstreams, trainers and operators."""
+"""The HTTP interfaces for callers, upstreams, trainers and operators."""
--- a/bilberrydrum/http/answers.py
+++ b/bilberrydrum/http/answers.py
@@ -1,4 +1,4 @@
-"""Read completions' requests and write their answers, OpenAI style."""
+"""Parse completion requests and build their answers in OpenAI's format."""
 
 import json
 import time
@@ -30,7 +30,7 @@
     reasons.Reason.UPSTREAM_BUSY: 503,
     reasons.Reason.UPSTREAM_TIMEOUT: 504,
 }
-# Each 429 and 503 says when to come back.
+# Each 429 and 503 has a Retry-After; this one is used if none is known, in seconds.
 _DEFAULT_RETRY_AFTER: Final = 1.0
 
 
@@ -53,13 +53,13 @@
 
 
 def error_event(problem: problems.Problem) -> bytes:
-    """Return the event that ends a stream which has failed."""
+    """Return the last event of a stream that failed."""
     return b'data: {"error": ' + problem.to_json() + b"}\n\n"
 
 
 @attrs.frozen
-class Asked:
-    """What a completion's body asks for."""
+class CompletionRequest:
+    """The content of a completion request."""
 
     model: str
     prompt: str
@@ -68,39 +68,39 @@
     adapter: str
 
 
-def read(body: dict[str, Any], form: "type[Completion]") -> Asked:
-    """Return what `body` asks for; refuse what is not well formed."""
-    wrong: list[str] = []
-    asked = Asked(
-        model=_field(body, "model", str, "", wrong),
-        prompt=form.prompt_of(body, wrong),
-        max_tokens=_field(body, "max_tokens", int, DEFAULT_MAX_TOKENS, wrong),
-        stream=_field(body, "stream", bool, False, wrong),
-        adapter=_field(body, "adapter", str, "", wrong),
+def read(body: dict[str, Any], answer_type: "type[Completion]") -> CompletionRequest:
+    """Parse `body`; refuse it with all errors if it is invalid."""
+    faults: list[str] = []
+    request = CompletionRequest(
+        model=_field(body, "model", str, "", faults),
+        prompt=answer_type.prompt_of(body, faults),
+        max_tokens=_field(body, "max_tokens", int, DEFAULT_MAX_TOKENS, faults),
+        stream=_field(body, "stream", bool, False, faults),
+        adapter=_field(body, "adapter", str, "", faults),
     )
-    if not asked.model:
-        wrong.append("model: missing")
-    if asked.max_tokens < 1:
-        wrong.append("max_tokens: below 1")
-    if wrong:
-        raise edge.refuse(400, reasons.Reason.INVALID_REQUEST, "; ".join(wrong))
-    return asked
+    if not request.model:
+        faults.append("model: missing")
+    if request.max_tokens < 1:
+        faults.append("max_tokens: must be at least 1")
+    if faults:
+        raise edge.refuse(400, reasons.Reason.INVALID_REQUEST, "; ".join(faults))
+    return request
 
 
 def _field(
-    body: dict[str, Any], name: str, kind: type, default: Any, wrong: list[str]
+    body: dict[str, Any], name: str, kind: type, default: Any, faults: list[str]
 ) -> Any:
     value = body.get(name, default)
-    # True is an int to Python.
+    # `isinstance` would accept true as an integer, as bool is a subclass of int.
     if type(value) is not kind:
-        wrong.append(f"{name}: not of type {kind.__name__}")
+        faults.append(f"{name}: must be of type {kind.__name__}")
         return default
     return value
 
 
 @attrs.define
 class Completion:
-    """Builds the answer to one ``/v1/completions``."""
+    """Builds the answer to one request for ``/v1/completions``."""
 
     call: model.ModelCall
     created: int = attrs.field(factory=lambda: int(time.time()))
@@ -110,32 +110,34 @@
     _finish_reason: str | None = None
 
     @classmethod
-    def prompt_of(cls, body: dict[str, Any], wrong: list[str]) -> str:
-        """Return the prompt that `body` gives; add to `wrong` what is not right."""
+    def prompt_of(cls, body: dict[str, Any], faults: list[str]) -> str:
+        """Return the prompt in `body`; append errors to `faults`."""
         if "prompt" not in body:
-            wrong.append("prompt: missing")
-        prompt: str = _field(body, "prompt", str, "", wrong)
+            faults.append("prompt: missing")
+        prompt: str = _field(body, "prompt", str, "", faults)
         return prompt
 
-    def take(self, event: model.StreamEvent) -> bytes:
-        """Take an event into the answer and return its form in a stream."""
+    def add_event(self, event: model.StreamEvent) -> bytes:
+        """Add an event to the answer, and return its bytes for a stream."""
         if isinstance(event, model.Tokens):
             self._texts.append(event.text)
             self._token_ids.extend(event.token_ids)
             self._weight_version = event.weight_version
-            return self._event(self._piece(event), event.weight_version)
+            return self._event(self._token_choice(event), event.weight_version)
         assert isinstance(event, model.Finished)
         self._finish_reason = event.finish_reason
-        return self._event(self._end(event), self._weight_version) + events.DONE
+        return (
+            self._event(self._final_choice(event), self._weight_version) + events.DONE
+        )
 
-    def whole(self) -> dict[str, Any]:
-        """Return the answer as one object."""
+    def to_document(self) -> dict[str, Any]:
+        """Return the complete answer as one JSON object."""
         return {
             "id": self.call.request_id,
             "object": "text_completion",
             "created": self.created,
             "model": self.call.model,
-            "choices": [self._whole_choice("".join(self._texts))],
+            "choices": [self._complete_choice("".join(self._texts))],
             "usage": {"completion_tokens": len(self._token_ids)},
             "weight_version": self._weight_version,
         }
@@ -151,7 +153,7 @@
         }
         return b"data: " + json.dumps(document).encode() + b"\n\n"
 
-    def _piece(self, event: model.Tokens) -> dict[str, Any]:
+    def _token_choice(self, event: model.Tokens) -> dict[str, Any]:
         return {
             "index": 0,
             "text": event.text,
@@ -159,10 +161,10 @@
             "finish_reason": None,
         }
 
-    def _end(self, event: model.Finished) -> dict[str, Any]:
+    def _final_choice(self, event: model.Finished) -> dict[str, Any]:
         return {"index": 0, "text": "", "finish_reason": event.finish_reason}
 
-    def _whole_choice(self, text: str) -> dict[str, Any]:
+    def _complete_choice(self, text: str) -> dict[str, Any]:
         return {
             "index": 0,
             "text": text,
@@ -172,24 +174,26 @@
 
 
 class ChatCompletion(Completion):
-    """Builds the answer to one ``/v1/chat/completions``."""
+    """Builds the answer to one request for ``/v1/chat/completions``."""
 
     @classmethod
-    def prompt_of(cls, body: dict[str, Any], wrong: list[str]) -> str:
-        """Return the prompt made of the messages in `body`."""
+    def prompt_of(cls, body: dict[str, Any], faults: list[str]) -> str:
+        """Return the messages in `body` as one prompt; append errors to `faults`."""
         lines = []
-        for message in _field(body, "messages", list, [], wrong):
+        for message in _field(body, "messages", list, [], faults):
             role = message.get("role") if isinstance(message, dict) else None
             content = message.get("content") if isinstance(message, dict) else None
             if not isinstance(role, str) or not isinstance(content, str):
-                wrong.append("messages: one without role and content")
+                faults.append(
+                    "messages: each must have a role and a content of type str"
+                )
                 break
             lines.append(f"{role}: {content}")
         if not lines:
-            wrong.append("messages: missing")
+            faults.append("messages: missing")
         return "\n".join([*lines, "assistant:"])
 
-    def _piece(self, event: model.Tokens) -> dict[str, Any]:
+    def _token_choice(self, event: model.Tokens) -> dict[str, Any]:
         return {
             "index": 0,
             "delta": {"role": "assistant", "content": event.text},
@@ -197,10 +201,10 @@
             "finish_reason": None,
         }
 
-    def _end(self, event: model.Finished) -> dict[str, Any]:
+    def _final_choice(self, event: model.Finished) -> dict[str, Any]:
         return {"index": 0, "delta": {}, "finish_reason": event.finish_reason}
 
-    def _whole_choice(self, text: str) -> dict[str, Any]:
+    def _complete_choice(self, text: str) -> dict[str, Any]:
         return {
             "index": 0,
             "message": {"role": "assistant", "content": text},
--- a/bilberrydrum/http/bundles.py
+++ b/bilberrydrum/http/bundles.py
@@ -1,4 +1,4 @@
-"""The operators' interface to bundles: check, submit, sign off, roll, and look."""
+"""The operators' interface to bundles: check, submit, sign off, roll and inspect."""
 
 import functools
 from typing import Any, Final
@@ -26,7 +26,7 @@
     state: client.StateClient,
     bundles: lease.GatewayLease,
 ) -> None:
-    """Serve the bundles' part of the operators' interface."""
+    """Add the operators' routes for bundles."""
     handlers = _Handlers(state, bundles)
     add = functools.partial(edge_.add, guard=edge.GUARD_OPERATOR)
     add("POST", "/v1/bundles/check", handlers.check)
@@ -86,8 +86,9 @@
         return edge.Response.of_json({**_describe(record), "content": record.content})
 
     def status(self, request: edge.Request) -> edge.Response:
-        # The counts are asked for first: a state read later may be further on, never
-        # behind, so a roll that is reported in force was so when it was counted.
+        # The counts are requested before the record, so the record is never older than
+        # them. In the opposite order, the answer could combine the state of an earlier
+        # time with the counts of a later one.
         counts = self.bundles.ask_roll_status()
         if counts.is_err():
             unanswered = client.StateError(
@@ -104,8 +105,8 @@
     def _change(self, command: object, status: int) -> edge.Response:
         submitted = self.state.submit(command)
         if submitted.is_err():
-            # A change that may have been made is sent again safely: it is known by its
-            # digest.
+            # The change may have been applied. A retry is safe, as a repeated change is
+            # recognized by its digest.
             raise problems.ProblemError(submitted.unwrap_err().to_problem())
         answer = submitted.unwrap()
         if isinstance(answer, commands.Refused):
@@ -122,11 +123,12 @@
         version = _version(request)
         record: records.Record | None = self._query(queries.GetBundle(version)).record
         if record is None:
-            detail = f"there is no version {version}, or it is not kept any more"
+            detail = f"version {version} does not exist, or has been deleted"
             raise edge.refuse(404, reasons.Reason.NOT_FOUND, detail)
         return record
 
 
+# Used if the counts are for a newer version than the one requested.
 _NOT_COUNTED: Final = {"n_confirmed": 0, "n_gateways": 0, "waiting_for": []}
 
 
@@ -147,7 +149,8 @@
     file_name = request.json().get("file_name", "bundle.yaml")
     if not isinstance(file_name, str):
         raise _invalid("file_name must be a string")
-    # A large bundle takes long to read, which must not hold up other requests.
+    # Checking a large bundle takes long and would block all other requests, so it is
+    # done in a thread.
     checked = tpool.execute(check.check, content, file_name)
     if checked.is_err():
         found: list[findings.Finding] = checked.unwrap_err()
@@ -170,7 +173,7 @@
 def _version(request: edge.Request) -> int:
     text = request.variables["version"]
     if not (text.isascii() and text.isdecimal() and len(text) <= 16):
-        raise _invalid(f"{text!r} is not a version")
+        raise _invalid(f"{text!r} is not a version number of at most 16 digits")
     return int(text)
 
 
--- a/bilberrydrum/http/callers.py
+++ b/bilberrydrum/http/callers.py
@@ -1,7 +1,8 @@
 """The callers' interface: completions and plain services.
 
-The edge reads and checks the request, makes a call of it and writes the answer. A
-request with an Idempotency-Key goes through `once`, which claims the key first.
+The handlers check a request, convert it to a call of the dispatcher, and convert the
+result to an HTTP answer. A request with an Idempotency-Key is passed to `once`, which
+claims the key first.
 """
 
 import hashlib
@@ -35,7 +36,7 @@
     dispatcher: interfaces.Dispatcher,
     claims: request_claims.Claims,
 ) -> None:
-    """Serve the callers' routes on `wsgi_edge`."""
+    """Add the callers' routes to `wsgi_edge`."""
     callers = _Callers(settings, bundles, dispatcher, claims)
     wsgi_edge.add("POST", "/v1/completions", callers.complete)
     wsgi_edge.add("POST", "/v1/chat/completions", callers.complete_chat)
@@ -44,8 +45,8 @@
 
 
 @attrs.frozen
-class _Asker:
-    """Who asks, and what holds for all its requests."""
+class _Requester:
+    """The caller of one request, its rule, and the request's general parameters."""
 
     name: str
     rule: bundle_model.CallerRule
@@ -83,7 +84,9 @@
         """Serve ``GET /v1/requests/{key}``."""
         caller = request.header("X-Caller")
         if not caller:
-            raise edge.refuse(403, reasons.Reason.CALLER_NOT_ALLOWED, "no X-Caller")
+            raise edge.refuse(
+                403, reasons.Reason.CALLER_NOT_ALLOWED, "header X-Caller is missing"
+            )
         found = self._claims.find(caller, request.variables["key"])
         if isinstance(found, result.Err):
             raise once.state_unavailable(found.err_value)
@@ -91,26 +94,26 @@
 
     def call_application(self, request: edge.Request) -> edge.Response:
         """Serve ``/apps/{application}/{path}``."""
-        return self._guarded(request, self._prepare_application)
+        return self._serve(request, self._prepare_application)
 
     def _complete(
-        self, request: edge.Request, form: type[answers.Completion]
+        self, request: edge.Request, answer_type: type[answers.Completion]
     ) -> edge.Response:
-        def prepare(request: edge.Request, asker: _Asker) -> once.Prepared:
-            return self._prepare_model(request, asker, form)
+        def prepare(request: edge.Request, requester: _Requester) -> once.Prepared:
+            return self._prepare_model(request, requester, answer_type)
 
-        return self._guarded(request, prepare)
+        return self._serve(request, prepare)
 
-    def _guarded(
+    def _serve(
         self,
         request: edge.Request,
-        prepare: Callable[[edge.Request, _Asker], once.Prepared],
+        prepare: Callable[[edge.Request, _Requester], once.Prepared],
     ) -> edge.Response:
         caller = request.header("X-Caller")
         key = _key(request)
         try:
-            asker = self._asker(request, caller, key)
-            prepared = prepare(request, asker)
+            requester = self._identify(request, caller, key)
+            prepared = prepare(request, requester)
         except problems.ProblemError as error:
             if not key:
                 raise
@@ -119,28 +122,32 @@
             response = prepared.send(None)
         else:
             response = once.run(self._claims, caller, key, _digest(request), prepared)
-        response.headers.append(("X-Request-Id", asker.request_id))
+        response.headers.append(("X-Request-Id", requester.request_id))
         counters.REQUESTS.labels("caller", str(response.status)).inc()
         return response
 
-    def _asker(self, request: edge.Request, caller: str, key: str) -> _Asker:
+    def _identify(self, request: edge.Request, caller: str, key: str) -> _Requester:
         bundle = self._bundles.current()
         if isinstance(bundle, result.Err):
             raise edge.refuse(503, bundle.err_value, retry_after_seconds=1.0)
         rule = bundle.ok_value.callers.get(caller)
         if rule is None:
             raise edge.refuse(
-                403, reasons.Reason.CALLER_NOT_ALLOWED, f"no caller {caller!r}"
+                403,
+                reasons.Reason.CALLER_NOT_ALLOWED,
+                f"the bundle has no caller {caller!r}",
             )
         timeout = request.header_number(
             "X-Timeout-Seconds", self._options.default_timeout_seconds
         )
         if timeout <= 0:
             raise edge.refuse(
-                400, reasons.Reason.INVALID_REQUEST, "X-Timeout-Seconds: not above 0"
+                400,
+                reasons.Reason.INVALID_REQUEST,
+                "X-Timeout-Seconds: must be above 0",
             )
         timeout = min(timeout, self._options.max_timeout_seconds)
-        return _Asker(
+        return _Requester(
             caller,
             rule,
             bundle.ok_value,
@@ -151,116 +158,138 @@
         )
 
     def _prepare_model(
-        self, request: edge.Request, asker: _Asker, form: type[answers.Completion]
+        self,
+        request: edge.Request,
+        requester: _Requester,
+        answer_type: type[answers.Completion],
     ) -> once.Prepared:
-        asked = answers.read(request.json(), form)
-        if asked.model not in asker.rule.models:
+        completion = answers.read(request.json(), answer_type)
+        if completion.model not in requester.rule.models:
             raise edge.refuse(
-                403, reasons.Reason.CALLER_NOT_ALLOWED, f"model {asked.model!r}"
+                403,
+                reasons.Reason.CALLER_NOT_ALLOWED,
+                f"the caller may not use model {completion.model!r}",
             )
-        model_rule = asker.bundle.models.get(asked.model)
+        model_rule = requester.bundle.models.get(completion.model)
         if model_rule is None:
-            raise edge.refuse(404, reasons.Reason.MODEL_UNKNOWN, asked.model)
-        if asked.adapter and asked.adapter not in model_rule.adapters:
+            raise edge.refuse(404, reasons.Reason.MODEL_UNKNOWN, completion.model)
+        if completion.adapter and completion.adapter not in model_rule.adapters:
             raise edge.refuse(
-                404, reasons.Reason.MODEL_UNKNOWN, f"adapter {asked.adapter!r}"
+                404,
+                reasons.Reason.MODEL_UNKNOWN,
+                f"the model has no adapter {completion.adapter!r}",
             )
 
         def is_allowed(bundle: bundle_model.Bundle) -> bool:
-            rule = bundle.callers.get(asker.name)
-            is_served = asked.model in bundle.models
-            return is_served and rule is not None and asked.model in rule.models
+            rule = bundle.callers.get(requester.name)
+            is_served = completion.model in bundle.models
+            return is_served and rule is not None and completion.model in rule.models
 
         call = model.ModelCall(
-            request_id=asker.request_id,
-            model=asked.model,
-            prompt=asked.prompt,
-            max_tokens=asked.max_tokens,
-            client=asker.name,
-            deadline=asker.deadline,
-            share=asker.rule.share,
-            priority=asker.priority,
-            adapter=asked.adapter,
-            min_weight_version=self._min_version(asker, asked.model, model_rule),
-            max_in_flight=asker.rule.max_in_flight,
+            request_id=requester.request_id,
+            model=completion.model,
+            prompt=completion.prompt,
+            max_tokens=completion.max_tokens,
+            client=requester.name,
+            deadline=requester.deadline,
+            share=requester.rule.share,
+            priority=requester.priority,
+            adapter=completion.adapter,
+            min_weight_version=self._min_version(
+                requester, completion.model, model_rule
+            ),
+            max_in_flight=requester.rule.max_in_flight,
             is_client_gone=request.is_client_gone,
             find_refusal=_refusal_finder(request, None, is_allowed),
         )
-        self._foresee(asker, call)
+        self._refuse_early(requester, call)
 
         def send(held: request_claims.Held | None) -> edge.Response:
             if held is not None:
-                whole = attrs.evolve(
+                claimed_call = attrs.evolve(
                     call,
                     is_idempotent=False,
                     find_refusal=_refusal_finder(request, held, is_allowed),
                 )
-                return _whole(form(whole), self._dispatcher, whole, asked.stream)
-            if not asked.stream:
-                return _whole(form(call), self._dispatcher, call, False)
-            return _streamed(form(call), resume.stream(self._dispatcher, call))
+                return _complete_response(
+                    answer_type(claimed_call),
+                    self._dispatcher,
+                    claimed_call,
+                    completion.stream,
+                )
+            if not completion.stream:
+                return _complete_response(
+                    answer_type(call), self._dispatcher, call, False
+                )
+            return _streamed_response(
+                answer_type(call), resume.stream(self._dispatcher, call)
+            )
 
         return once.Prepared(send, call.deadline)
 
-    def _foresee(
-        self, asker: _Asker, call: model.ModelCall | model.ApplicationCall
+    def _refuse_early(
+        self, requester: _Requester, call: model.ModelCall | model.ApplicationCall
     ) -> None:
-        """Refuse before the claim what would be refused after it.
+        """Refuse a keyed request before its claim if it would be refused after it.
 
-        Under overload each claim of a refused request would cost the state group two
-        commits, and callers that retry at once would fill it with them.
+        Otherwise each refused request would cost the state group two commits, for the
+        claim and its release. Under overload, callers that retry at once would overload
+        the state group with them.
         """
-        if not asker.key:
+        if not requester.key:
             return
         failed = self._dispatcher.predict_refusal(call)
         if failed is not None:
             raise problems.ProblemError(answers.problem_of(failed))
 
     def _min_version(
-        self, asker: _Asker, model_name: str, rule: bundle_model.ModelRule
+        self, requester: _Requester, model_name: str, rule: bundle_model.ModelRule
     ) -> int:
         newest = rule.weight_version
         versions_by_trainer = self._bundles.weight_versions_by_trainer()
-        for trainer, trainer_rule in asker.bundle.trainers.items():
+        for trainer, trainer_rule in requester.bundle.trainers.items():
             if trainer_rule.model == model_name and not trainer_rule.adapter:
                 newest = max(newest, versions_by_trainer.get(trainer, 0))
-        if asker.rule.staleness_bound < 0:
+        if requester.rule.staleness_bound < 0:
             return rule.weight_version or -1
-        return max(0, newest - asker.rule.staleness_bound)
+        return max(0, newest - requester.rule.staleness_bound)
 
     def _prepare_application(
-        self, request: edge.Request, asker: _Asker
+        self, request: edge.Request, requester: _Requester
     ) -> once.Prepared:
         name = request.variables["application"]
-        if name not in asker.rule.applications:
+        if name not in requester.rule.applications:
             raise edge.refuse(
-                403, reasons.Reason.CALLER_NOT_ALLOWED, f"application {name!r}"
+                403,
+                reasons.Reason.CALLER_NOT_ALLOWED,
+                f"the caller may not use application {name!r}",
             )
-        rule = asker.bundle.applications.get(name)
+        rule = requester.bundle.applications.get(name)
         if rule is None:
             raise edge.refuse(404, reasons.Reason.APPLICATION_UNKNOWN, name)
 
         def is_allowed(bundle: bundle_model.Bundle) -> bool:
-            rule = bundle.callers.get(asker.name)
+            rule = bundle.callers.get(requester.name)
             is_served = name in bundle.applications
             return is_served and rule is not None and name in rule.applications
 
         call = model.ApplicationCall(
-            request_id=asker.request_id,
+            request_id=requester.request_id,
             application=name,
             method=request.method,
             target=_target(request, name),
             headers=tuple(request.environ.get("headers_raw", ())),
             body=request.body(),
-            client=asker.name,
-            deadline=min(asker.deadline, clock.now() + rule.timeout_seconds),
-            share=asker.rule.share,
-            priority=asker.priority,
-            is_idempotent=not asker.key and request.method in rule.idempotent_methods,
-            max_in_flight=asker.rule.max_in_flight,
+            client=requester.name,
+            deadline=min(requester.deadline, clock.now() + rule.timeout_seconds),
+            share=requester.rule.share,
+            priority=requester.priority,
+            is_idempotent=not requester.key
+            and request.method in rule.idempotent_methods,
+            max_in_flight=requester.rule.max_in_flight,
             is_client_gone=request.is_client_gone,
         )
-        self._foresee(asker, call)
+        self._refuse_early(requester, call)
 
         def send(held: request_claims.Held | None) -> edge.Response:
             find_refusal = _refusal_finder(request, held, is_allowed)
@@ -269,59 +298,60 @@
             )
             if isinstance(answer, result.Err):
                 raise problems.ProblemError(answers.problem_of(answer.err_value))
-            whole = answer.ok_value
-            return edge.Response(whole.status, whole.body, list(whole.headers))
+            complete = answer.ok_value
+            return edge.Response(complete.status, complete.body, list(complete.headers))
 
         return once.Prepared(send, call.deadline)
 
 
-def _whole(
-    form: answers.Completion,
+def _complete_response(
+    builder: answers.Completion,
     dispatcher: interfaces.Dispatcher,
     call: model.ModelCall,
     is_streamed: bool,
 ) -> edge.Response:
-    """Return the whole answer, as one object or as a stream that has ended."""
+    """Wait for the complete answer; return it as one object or as a complete stream."""
     parts = []
     for event in resume.stream(dispatcher, call):
         if isinstance(event, model.Failed):
             raise problems.ProblemError(answers.problem_of(event))
-        parts.append(form.take(event))
+        parts.append(builder.add_event(event))
     if is_streamed:
         return edge.Response(200, b"".join(parts), answers.STREAM_HEADERS.copy())
-    return edge.Response.of_json(form.whole())
+    return edge.Response.of_json(builder.to_document())
 
 
-def _streamed(
-    form: answers.Completion, events: Iterator[model.StreamEvent]
+def _streamed_response(
+    builder: answers.Completion, events: Iterator[model.StreamEvent]
 ) -> edge.Response:
-    """Return the answer as a stream that is passed on as it comes."""
-    # The first event decides whether there is a stream at all: until then a refusal
-    # can still be told by the status.
+    """Return the answer as a stream that is relayed event by event."""
+    # The status can report a failure only until the stream starts, so the first event
+    # is awaited before.
     first = next(events)
     if isinstance(first, model.Failed):
         raise problems.ProblemError(answers.problem_of(first))
     return edge.Response(
-        200, _passed_on(form, first, events), answers.STREAM_HEADERS.copy()
+        200, _relay_events(builder, first, events), answers.STREAM_HEADERS.copy()
     )
 
 
-def _passed_on(
-    form: answers.Completion,
+def _relay_events(
+    builder: answers.Completion,
     first: model.StreamEvent,
     events: Iterator[model.StreamEvent],
 ) -> Iterable[bytes]:
     try:
-        yield form.take(first)
+        yield builder.add_event(first)
         for event in events:
             if isinstance(event, model.Failed):
                 problem = answers.problem_of(event)
                 counters.refused(problem.reason)
                 yield answers.error_event(problem)
-                # The server then closes the connection without the last chunk, so
-                # that no client takes what it has for the whole answer.
+                # After this exception the server closes the connection without the last
+                # chunk. Otherwise a client could take the partial answer for a complete
+                # one.
                 raise problems.ProblemError(problem)
-            yield form.take(event)
+            yield builder.add_event(event)
     finally:
         close: Any = getattr(events, "close", None)
         if close is not None:
@@ -333,11 +363,12 @@
     held: request_claims.Held | None,
     is_allowed: Callable[[bundle_model.Bundle], bool],
 ) -> Callable[[bundle_model.Bundle], reasons.Reason | None]:
-    """Return what is asked immediately before the first byte goes out.
+    """Return the check to run immediately before the first byte is sent.
 
-    A gateway that was stopped and goes on later must not send by a bundle that is in
-    force no more, nor what its caller gave up on and may have been told elsewhere that
-    it did not run.
+    A gateway may be suspended between admission and sending. When it resumes, it must
+    not send under a bundle that is no longer in force. Nor may it send a request that
+    its caller has given up: another gateway may have answered the retry that the
+    request did not run.
     """
 
     def find_refusal(bundle: bundle_model.Bundle) -> reasons.Reason | None:
@@ -359,7 +390,9 @@
     key = keys.normalise(text)
     if not keys.is_valid(key):
         raise edge.refuse(
-            400, reasons.Reason.INVALID_REQUEST, "Idempotency-Key: not a key"
+            400,
+            reasons.Reason.INVALID_REQUEST,
+            "Idempotency-Key: must be printable, with 1 to 255 characters",
         )
     return key
 
@@ -372,14 +405,15 @@
 
 
 def _target(request: edge.Request, application: str) -> str:
-    # The path as sent, not decoded: an encoded slash is no slash to the service.
+    # The raw path is used: after decoding, the service could not distinguish an encoded
+    # slash from a separator.
     raw = str(request.environ.get("RAW_PATH_INFO", request.path))
     path = "/" + "/".join(raw.lstrip("/").split("/")[2:])
     return f"{path}?{request.query_string}" if request.query_string else path
 
 
 def _digest(request: edge.Request) -> str:
-    """Return the digest of what the request asks for."""
+    """Return a digest of all that determines the request's effect."""
     digest = hashlib.sha256()
     for part in (
         request.method.encode(),
--- a/bilberrydrum/http/edge.py
+++ b/bilberrydrum/http/edge.py
@@ -1,8 +1,8 @@
-"""The WSGI edge: requests, responses, routes and the limits on what clients send.
+"""The WSGI application: requests, responses, routes and limits on requests.
 
-Handlers take a `Request` and return a `Response`; to refuse, they raise
-`problems.ProblemError`. The edge turns every refusal into a problem document and counts
-it by its reason.
+Handlers take a `Request` and return a `Response`, or raise `problems.ProblemError` to
+refuse the request. The edge answers each refusal with a problem document, and counts it
+by reason.
 """
 
 import collections
@@ -25,7 +25,7 @@
 GUARD_OPERATOR: Final = "operator"
 GUARD_UPSTREAM: Final = "upstream"
 
-# Set in the environment of a request whose answer says that its connection ends.
+# WSGI environment key that is set if the answer has the header "Connection: close".
 ENDS_CONNECTION: Final = "bilberrydrum.ends-connection"
 
 _READ_CHUNK: Final = 64 * 1024
@@ -34,7 +34,7 @@
 def refuse(
     status: int, reason: reasons.Reason, detail: str = "", **fields: Any
 ) -> problems.ProblemError:
-    """Return the exception that ends a request with a problem document."""
+    """Return the exception to raise for a refusal with a problem document."""
     return problems.ProblemError(problems.Problem(status, reason, detail, **fields))
 
 
@@ -44,12 +44,12 @@
 
     environ: dict[str, Any]
     limits: options.LimitOptions
-    # Values of the route's variables, by name.
+    # Values of the variables in the route's pattern, by name.
     variables: dict[str, str] = attrs.field(factory=dict)
 
     @property
     def method(self) -> str:
-        """The method, in capitals."""
+        """The method, in upper case."""
         return str(self.environ["REQUEST_METHOD"])
 
     @property
@@ -59,7 +59,7 @@
 
     @property
     def query_string(self) -> str:
-        """The query as sent, without the question mark."""
+        """The undecoded query, without the question mark."""
         return str(self.environ.get("QUERY_STRING", ""))
 
     def query(self, name: str, default: str = "") -> str:
@@ -68,7 +68,7 @@
         return values[-1] if values else default
 
     def query_number(self, name: str, default: float) -> float:
-        """Return a query parameter as a finite number; refuse what is none."""
+        """Return a query parameter as a finite number; refuse any other value."""
         text = self.query(name)
         if not text:
             return default
@@ -82,14 +82,14 @@
         return str(self.environ.get(key, default))
 
     def header_number(self, name: str, default: float) -> float:
-        """Return a header as a finite number; refuse what is none."""
+        """Return a header as a finite number; refuse any other value."""
         text = self.header(name)
         if not text:
             return default
         return _number(f"header {name}", text)
 
     def body(self) -> bytes:
-        """Read the whole body; refuse one too large, too slow or cut short."""
+        """Return the complete body; refuse one too large, too slow or truncated."""
         if "bilberrydrum.body" not in self.environ:
             self.environ["bilberrydrum.body"] = _read_body(self.environ, self.limits)
         return bytes(self.environ["bilberrydrum.body"])
@@ -105,7 +105,7 @@
         return value
 
     def is_client_gone(self) -> bool:
-        """Tell whether the client has closed the connection."""
+        """Return whether the client has closed the connection."""
         connection = self.environ["eventlet.input"].get_socket()
         try:
             readable, _, _ = select_now(connection)
@@ -115,7 +115,7 @@
 
 
 def select_now(connection: Any) -> tuple[list[Any], list[Any], list[Any]]:
-    """Return what can be done on `connection` now, without waiting."""
+    """Return the ready sockets, as `select.select` would without waiting."""
     poll = _original_poll()
     poll.register(connection.fileno(), select.POLLIN | select.POLLHUP | select.POLLERR)
     events = poll.poll(0)
@@ -123,8 +123,8 @@
 
 
 def _original_poll() -> Any:
-    # eventlet removes `select.poll`, which would block the hub; with no time to wait
-    # it cannot.
+    # eventlet removes `select.poll`, as it would block the hub. With a timeout of 0 it
+    # does not block.
     return eventlet.patcher.original("select").poll()
 
 
@@ -134,13 +134,15 @@
     except ValueError:
         value = float("nan")
     if value != value or value in (float("inf"), float("-inf")):
-        raise refuse(400, reasons.Reason.INVALID_REQUEST, f"{what}: not a number")
+        raise refuse(
+            400, reasons.Reason.INVALID_REQUEST, f"{what}: must be a finite number"
+        )
     return value
 
 
 @attrs.define
 class Response:
-    """One HTTP answer; an iterable body is streamed in chunks."""
+    """One HTTP answer; a body other than bytes is streamed in chunks."""
 
     status: int = 200
     body: bytes | Iterable[bytes] = b""
@@ -160,7 +162,7 @@
 class Route:
     """A method and a path pattern.
 
-    ``{name}`` takes one segment, ``{name...}`` all that are left.
+    ``{name}`` matches one segment, ``{name...}`` all remaining ones.
     """
 
     method: str
@@ -195,19 +197,23 @@
     ) -> None:
         self._own_limits = limits
         self._limits = limits
-        # Serves what no route takes; None: such requests are refused.
+        # Handles requests that match no route; if None, they are refused.
         self._fallback = fallback
         self._tokens_by_guard = tokens_by_guard
         self._routes_by_head: dict[str, list[Route]] = collections.defaultdict(list)
-        # Requests being worked on, for a graceful shutdown.
+        # Number of requests in flight; a graceful shutdown waits until it is 0.
         self.n_in_flight = 0
-        # Set once the process is told to stop.
+        # Whether a graceful shutdown has begun.
         self.is_draining = False
 
     def apply_limits(self, max_header_bytes: int, max_body_bytes: int) -> None:
-        """Take over what an operator allows a client to send; 0: as the process has it.
+        """Set the limits of the operators' policy on requests.
 
-        What the process itself can take is not exceeded.
+        Parameters
+        ----------
+        max_header_bytes, max_body_bytes : int
+            The limits, in bytes; 0 for those of the process's own options, which are
+            never exceeded.
         """
         own = self._own_limits
         self._limits = attrs.evolve(
@@ -221,15 +227,15 @@
         )
 
     def routes(self) -> list[Route]:
-        """Return all routes, for tests that compare them with the documentation."""
+        """Return all routes; tests compare them with the documentation."""
         return [route for routes in self._routes_by_head.values() for route in routes]
 
     def add(
         self, method: str, pattern: str, handler: Handler, guard: str = GUARD_NONE
     ) -> None:
-        """Serve `pattern` with `handler`; method ``*`` takes any."""
+        """Serve `pattern` with `handler`; method ``*`` matches any method."""
         segments = tuple(pattern.strip("/").split("/"))
-        # The first two segments find a route quickly on the path of every request.
+        # Routes are indexed by their first two segments, as each request is looked up.
         head = "/".join(segments[:2]) if segments[0] == "v1" else segments[0]
         self._routes_by_head[head].append(Route(method, segments, handler, guard))
 
@@ -249,13 +255,13 @@
             headers = [*headers, ("Content-Length", str(len(body)))]
             body = (body,)
         if self.is_draining:
-            # A client that is not told would send its next request on a connection
-            # that is being closed, and could not know whether it ran.
+            # Without this header, a client could send its next request on a connection
+            # that is being closed, and could not know whether that request ran.
             headers = [*headers, ("Connection", "close")]
             environ[ENDS_CONNECTION] = True
         start_response(status, headers)
-        # Counted until it is written: a client that reads slowly would be cut off by
-        # a shutdown that took the request for done.
+        # The request is in flight until its body is written. Otherwise a shutdown would
+        # cut off a client that reads slowly.
         return _CountedBody(self, body)
 
     def _respond(self, request: Request) -> Response:
@@ -270,7 +276,7 @@
         except Exception:
             eliot.write_traceback()
             counters.refused(reasons.Reason.INTERNAL_ERROR)
-            # How far the request got is not known here, so it must not be called
+            # The request may have run before the exception, so the outcome must not be
             # not-run.
             problem = problems.Problem(
                 500,
@@ -303,7 +309,9 @@
             return self._fallback
         if methods:
             raise refuse(
-                405, reasons.Reason.METHOD_NOT_ALLOWED, f"use {', '.join(methods)}"
+                405,
+                reasons.Reason.METHOD_NOT_ALLOWED,
+                f"allowed methods: {', '.join(methods)}",
             )
         raise refuse(404, reasons.Reason.NOT_FOUND, request.path)
 
@@ -313,11 +321,11 @@
             return
         given = request.header("Authorization").removeprefix("Bearer ").encode()
         if not hmac.compare_digest(given, token):
-            raise refuse(401, reasons.Reason.UNAUTHORIZED, f"{guard} token needed")
+            raise refuse(401, reasons.Reason.UNAUTHORIZED, f"{guard} token required")
 
 
 class _CountedBody:
-    """A streamed body that tells the edge when it has ended, whole or not."""
+    """A body that decrements the edge's requests in flight when it is closed."""
 
     def __init__(self, edge: Edge, body: Iterable[bytes]) -> None:
         self._edge = edge
@@ -327,7 +335,7 @@
         return iter(self._body)
 
     def close(self) -> None:
-        """End the body; the WSGI server calls this once."""
+        """Close the body; the WSGI server calls this once, also after a failure."""
         self._edge.n_in_flight -= 1
         close = getattr(self._body, "close", None)
         if close is not None:
@@ -359,7 +367,7 @@
             raise
         raise refuse(408, reasons.Reason.READ_TIMEOUT) from error
     except (OSError, ValueError) as error:
-        # eventlet raises ValueError's kin for a broken chunk.
+        # eventlet raises a subclass of ValueError for a malformed chunk.
         raise refuse(400, reasons.Reason.BODY_TRUNCATED, str(error)) from error
     finally:
         timeout.cancel()
--- a/bilberrydrum/http/monitoring.py
+++ b/bilberrydrum/http/monitoring.py
@@ -1,4 +1,4 @@
-"""Health, readiness and metrics of one process."""
+"""The routes for health, readiness and metrics of one process."""
 
 from collections.abc import Callable
 
@@ -9,19 +9,19 @@
 
 
 def add_routes(edge_: edge.Edge, find_unready: Callable[[], list[str]]) -> None:
-    """Serve `/healthz`, `/readyz` and `/metrics`.
+    """Add `/healthz`, `/readyz` and `/metrics`.
 
     Parameters
     ----------
     edge_ : Edge
-        Where the routes are added.
+        The edge to which the routes are added.
     find_unready : callable
-        Returns why no work should be sent here; empty when it may be.
+        Returns the reasons why this process should get no work; empty if it is ready.
     """
 
     def healthz(request: edge.Request) -> edge.Response:
-        # A draining process fails its health check, so that the balancer looks for
-        # another while requests in flight end.
+        # A draining process fails its health check, so that load balancers send new
+        # requests elsewhere while the requests in flight are completed.
         if edge_.is_draining:
             raise edge.refuse(503, reasons.Reason.SHUTTING_DOWN)
         return edge.Response.of_json({"status": "ok"})
--- a/bilberrydrum/http/once.py
+++ b/bilberrydrum/http/once.py
@@ -1,8 +1,9 @@
-"""Serve a request that may run at most once.
+"""Serve requests that may run at most once.
 
-The key is claimed in the state group before the first byte goes out, and what came of
-it is recorded before the caller is answered. Whatever is refused before that is
-not-run only if the key is known not to have run through another gateway.
+The idempotency key is claimed in the state group before the first byte is sent, and the
+result is recorded before the caller is answered. If a request is refused before its key
+is claimed, the outcome is not-run only if the state group shows that the request has
+not run through another gateway.
 """
 
 from collections.abc import Callable
@@ -17,23 +18,24 @@
 from bilberrydrum.requests import claims_state
 from bilberrydrum.state import client
 
-# Sends the request; given the claim if it may run at most once.
+# Sends the request. The argument is the claim, or None if there is no key.
 Send = Callable[[request_claims.Held | None], edge.Response]
 
-# Refusals that say nothing about what the caller may see.
-_FOR_LACK_OF_ROOM: Final = frozenset(
+# Refusals for lack of capacity. They do not concern the caller's rights, so a recorded
+# answer may be returned instead.
+_CAPACITY_REASONS: Final = frozenset(
     {reasons.Reason.QUEUE_FULL, reasons.Reason.DEADLINE_UNREACHABLE}
 )
-# There is no room before an operator makes some.
+# Retry-After if all keys are used. It is long, as only an operator can make room.
 _KEYS_FULL_SECONDS: Final = 60.0
 
 
 @attrs.frozen
 class Prepared:
-    """A request that was checked and may be sent."""
+    """A request that has been checked and may be sent."""
 
     send: Send
-    # When it ends at the latest, in seconds of `clock.now`.
+    # Deadline of the request, in seconds of `clock.now`.
     deadline: float
 
 
@@ -44,7 +46,7 @@
     digest: str,
     prepared: Prepared,
 ) -> edge.Response:
-    """Claim the key and send, or give again what came of it before."""
+    """Claim the key and send the request, or replay the recorded answer of the key."""
     timeout = max(0.0, prepared.deadline - clock.now())
     claimed = claims.claim(caller, key, digest, timeout)
     if isinstance(claimed, result.Err):
@@ -64,7 +66,7 @@
         if error.problem.outcome == problems.OUTCOME_NOT_RUN:
             recorded = claims.release(held)
             if recorded is not None:
-                return _again(recorded)
+                return _replay(recorded)
             raise
         claims.finish(held, None)
         raise
@@ -86,11 +88,11 @@
     digest: str,
     error: problems.ProblemError,
 ) -> edge.Response:
-    """Refuse a request that was not claimed, in view of what is known of its key.
+    """Refuse a request that was not claimed, with the outcome that its key implies.
 
-    The refusal is about this attempt. An earlier one through another gateway may have
-    run, and then "not-run" would be false. Where the refusal is for lack of room, the
-    recorded answer is given again.
+    The refusal concerns this attempt only. An earlier attempt through another gateway
+    may have run, and then the outcome not-run would be wrong. If the refusal is for
+    lack of capacity, a recorded answer is replayed instead.
     """
     found = claims.find(caller, key)
     if isinstance(found, result.Err):
@@ -100,10 +102,10 @@
         raise error
     if not isinstance(known, request_claims.Recorded):
         raise _with_outcome(error, problems.OUTCOME_UNKNOWN)
-    if error.problem.reason in _FOR_LACK_OF_ROOM:
+    if error.problem.reason in _CAPACITY_REASONS:
         if known.claim.digest != digest:
             raise _refusal(reasons.Reason.KEY_REUSED)
-        return _again(known.claim)
+        return _replay(known.claim)
     raise _with_outcome(error, _outcome(known.claim))
 
 
@@ -113,13 +115,13 @@
 
 def state_unavailable(error: client.StateError) -> problems.ProblemError:
     """Return the refusal of a request whose key could not be looked up."""
-    # Whatever became of this attempt, an earlier one may have run.
+    # This attempt was not sent, but an earlier one may have run.
     unknown = problems.ProblemError(error.to_problem())
     return _with_outcome(unknown, problems.OUTCOME_UNKNOWN)
 
 
 def show(key: str, known: request_claims.Claimed | None) -> edge.Response:
-    """Return what is known of a key, for ``GET /v1/requests/{key}``."""
+    """Return the answer to ``GET /v1/requests/{key}``."""
     if known is None:
         raise edge.refuse(404, reasons.Reason.NOT_FOUND, f"key {key!r}")
     if isinstance(known, request_claims.Recorded):
@@ -149,7 +151,7 @@
 
 def _answer_known(known: request_claims.Claimed) -> edge.Response:
     if isinstance(known, request_claims.Recorded):
-        return _again(known.claim)
+        return _replay(known.claim)
     if isinstance(known, request_claims.InProgress):
         raise edge.refuse(
             409,
@@ -163,23 +165,26 @@
 
 def _refusal(reason: reasons.Reason) -> problems.ProblemError:
     if reason is reasons.Reason.KEY_REUSED:
-        return edge.refuse(422, reason, "the key belongs to another request")
+        return edge.refuse(422, reason, "the key was used for another request")
     if reason is reasons.Reason.KEY_EXPIRED:
         return edge.refuse(
-            410, reason, "older than keys are kept", outcome=problems.OUTCOME_UNKNOWN
+            410,
+            reason,
+            "the key is older than the time for which keys are kept",
+            outcome=problems.OUTCOME_UNKNOWN,
         )
     if reason is reasons.Reason.INVALID_REQUEST:
-        return edge.refuse(400, reason, "the key's time is ahead of the system's")
+        return edge.refuse(400, reason, "the key's time is in the future")
     return edge.refuse(
         503,
         reason,
-        "no room for keys that carry no time",
+        "no room for more keys that contain no time",
         retry_after_seconds=_KEYS_FULL_SECONDS,
     )
 
 
-def _again(claim: claims_state.Claim) -> edge.Response:
-    """Return the recorded answer."""
+def _replay(claim: claims_state.Claim) -> edge.Response:
+    """Return the recorded answer, or refuse if only the outcome is known."""
     if claim.result is None:
         raise edge.refuse(
             409, reasons.Reason.OUTCOME_UNKNOWN, outcome=problems.OUTCOME_UNKNOWN
@@ -188,7 +193,7 @@
         raise edge.refuse(
             409,
             reasons.Reason.RESULT_NOT_KEPT,
-            f"it ended with status {claim.result.status}",
+            f"the request ended with status {claim.result.status}",
             outcome=problems.OUTCOME_COMPLETED,
         )
     headers = [*claim.result.headers, ("Idempotency-Replayed", "true")]
--- a/bilberrydrum/http/server.py
+++ b/bilberrydrum/http/server.py
@@ -1,8 +1,8 @@
 """Serve the edge over HTTP, with limits on connections, headers and reading time.
 
-eventlet's WSGI server does the protocol. Its connection handler is extended here so
-that a request which breaks a limit gets a problem document and is counted, and so that
-connections are closed after their answer once the process drains.
+eventlet's WSGI server implements the protocol. Its connection handler is extended here:
+a request that exceeds a limit is answered with a problem document and counted, and
+connections are closed after their answer while the process drains.
 """
 
 import time
@@ -14,17 +14,18 @@
 from bilberrydrum import counters, options, problems, reasons
 from bilberrydrum.http import edge
 
-# How long a client that was refused at once gets to read why.
+# Time that a client has to read the answer if its connection is refused.
 _REFUSAL_LINGER_SECONDS: Final = 1.0
-# Refused clients that are waited for at a time; further ones are cut.
+# Largest number of refused connections that stay open for that time. Further ones are
+# closed without an answer.
 _MAX_REFUSALS: Final = 64
-# A connection without a request is closed after this long.
+# Time after which a connection without a request is closed.
 _IDLE_SECONDS: Final = 75.0
 _BACKLOG: Final = 1024
 
 
 def raw_answer(problem: problems.Problem) -> bytes:
-    """Return the bytes of a whole HTTP answer that closes the connection."""
+    """Return the bytes of a complete HTTP answer that closes the connection."""
     body = problem.to_json()
     lines = [f"HTTP/1.1 {problem.status} {problem.reason.value}"]
     lines += [f"{name}: {value}" for name, value in problem.headers()]
@@ -33,12 +34,12 @@
 
 
 class LimitedProtocol(eventlet.wsgi.HttpProtocol):  # type: ignore[misc]
-    """eventlet's handler of one connection, with our limits and errors."""
+    """eventlet's connection handler, extended by limits and problem documents."""
 
     limits = options.LimitOptions()
 
     def parse_request(self) -> bool:
-        """Read the headers; refuse headers that are too large or too slow."""
+        """Read the headers; refuse them if they are too large or too slow."""
         timeout = eventlet.Timeout(self.limits.read_timeout_seconds)
         try:
             return bool(super().parse_request())
@@ -57,10 +58,10 @@
             timeout.cancel()
 
     def handle_one_request(self) -> None:
-        """Serve one request; after an answer that says so, the connection ends.
+        """Serve one request; close the connection if the answer announced it.
 
-        A stream that began before the process was told to stop has not said so, and
-        its client may have sent its next request already: that one is served too.
+        A stream that began before the shutdown did not announce it, and its client may
+        have sent the next request already. That request is served too.
         """
         self.environ: dict[str, Any] = {}
         super().handle_one_request()
@@ -70,7 +71,7 @@
     def send_error(
         self, code: int, message: str | None = None, explain: str | None = None
     ) -> None:
-        """Answer a request that is not HTTP with a problem document."""
+        """Answer malformed HTTP with a problem document."""
         self._refuse(int(code), reasons.Reason.INVALID_REQUEST, message or "")
 
     def _refuse(self, status: int, reason: reasons.Reason, detail: str = "") -> None:
@@ -81,7 +82,7 @@
 
 
 class _BoundedListener:
-    """A listening socket that refuses connections beyond a number, and says so."""
+    """A listening socket that answers and refuses connections beyond a limit."""
 
     def __init__(self, listener: Any, pool: Any, max_connections: int) -> None:
         self._listener = listener
@@ -90,8 +91,8 @@
         self._refusals = eventlet.GreenPool(_MAX_REFUSALS)
 
     def accept(self) -> Any:
-        # Without this, a full pool keeps the server from accepting: clients would
-        # wait in the kernel's queue for as long as others keep their connections.
+        # With a full pool, eventlet's server stops accepting. New clients would then
+        # wait in the kernel's queue until others close their connections.
         while True:
             connection, address = self._listener.accept()
             if self._pool.running() < self._max_connections:
@@ -114,8 +115,8 @@
     try:
         connection.settimeout(_REFUSAL_LINGER_SECONDS)
         connection.sendall(raw_answer(problem))
-        # Closing with unread input would reset the connection, and the client would
-        # see the reset in place of the answer.
+        # If the socket were closed with unread input, the kernel would reset the
+        # connection, and the client would see the reset instead of the answer.
         connection.shutdown(1)
         while time.monotonic() < give_up_at and connection.recv(4096):
             pass
@@ -137,12 +138,12 @@
         self._task: Any = None
 
     def start(self) -> None:
-        """Bind the address and start to serve."""
+        """Bind the address and start the server task."""
         host, _, port = self._address.rpartition(":")
         self._listener = eventlet.listen((host, int(port)), backlog=_BACKLOG)
         limits = self._limits
-        # The server's own limits are module constants. One header line may take all
-        # that is allowed; the edge checks the exact sum.
+        # eventlet's limits are module constants. One header line may be as long as the
+        # limit for all; the edge checks the exact sum.
         eventlet.wsgi.MAX_HEADER_LINE = limits.max_header_bytes + 1
         eventlet.wsgi.MAX_TOTAL_HEADER_SIZE = limits.max_header_bytes + 1
         protocol = type("Protocol", (LimitedProtocol,), {"limits": limits})
@@ -156,18 +157,18 @@
             keepalive=_IDLE_SECONDS,
             log_output=False,
             debug=False,
-            # Events of a stream must leave at once, however small.
+            # Small events of a stream must be sent without delay.
             minimum_chunk_size=1,
             url_length_limit=limits.max_header_bytes,
         )
 
     def stop_accepting(self) -> None:
-        """Close the listening socket and idle connections; requests go on."""
+        """Close the listening socket and idle connections, but no active ones."""
         if self._task is None:
             return
         self._task.kill()
         self._task = None
         # eventlet closes the listening socket only after the last request has ended.
-        # Until then the kernel would take connections that nobody serves, and their
-        # clients would wait for as long as the longest stream.
+        # Until then the kernel would accept connections that are never served, and the
+        # clients would wait until the longest stream ends.
         self._listener.close()
--- a/bilberrydrum/http/state_operators.py
+++ b/bilberrydrum/http/state_operators.py
@@ -1,4 +1,4 @@
-"""Operators' interface to the state group: see, repair, back up and restore."""
+"""The operators' interface to the state group: status, repair, backup, restore."""
 
 from typing import Any, Final, Protocol
 
@@ -9,7 +9,7 @@
 from bilberrydrum.http import edge
 from bilberrydrum.state import client, commands, queries, snapshot
 
-# Largest snapshot that may be restored.
+# Largest accepted snapshot for a restore.
 MAX_SNAPSHOT_BYTES: Final = 256 * 1024 * 1024
 _SNAPSHOT_TIMEOUT: Final = 60.0
 _CHANGE_TIMEOUT: Final = 10.0
@@ -17,10 +17,10 @@
 
 
 class StatusSource(Protocol):
-    """A replica that tells how the group stands."""
+    """A replica that can report the status of the group."""
 
     def status(self) -> queries.Status:
-        """Return how the group stands as this replica sees it."""
+        """Return the status of the group from the local replica's point of view."""
 
 
 def add_routes(
@@ -29,7 +29,7 @@
     state: client.StateClient,
     replica: StatusSource | None = None,
 ) -> None:
-    """Serve the operators' routes of the state group; `replica` is the local one."""
+    """Add the operators' routes for the state group; `replica` is the local one."""
     handlers = _Handlers(state, replica)
     guard = edge.GUARD_OPERATOR
     routes.add("GET", "/v1/state", handlers.status, guard)
@@ -49,10 +49,10 @@
         self._replica = replica
 
     def status(self, request: edge.Request) -> edge.Response:
-        """Tell how the group stands, as its leader or else the local replica sees it.
+        """Return the status of the group from its leader, or else the local replica.
 
-        Without a majority there is no leader to ask, and it is then that an operator
-        needs to see what is left.
+        Without a majority there is no leader to answer, and in this situation operators
+        need the status most.
         """
         answer = self._state.query(queries.GetStatus(), _STATUS_TIMEOUT)
         if isinstance(answer, result.Ok):
@@ -62,7 +62,7 @@
         return _status_response(self._replica.status())
 
     def add_member(self, request: edge.Request) -> edge.Response:
-        """Let the empty replica of a process join."""
+        """Add a process, whose replica is empty, to the group."""
         body = request.json()
         command = commands.AddMember(
             _text(body, "process_id"), _text(body, "peer_address")
@@ -70,7 +70,7 @@
         return self._change(command)
 
     def remove_member(self, request: edge.Request) -> edge.Response:
-        """Remove one replica, if the rest keeps a majority."""
+        """Remove one replica, if the remaining ones still have a majority."""
         return self._change(commands.RemoveMember(request.variables["replica_id"]))
 
     def _change(self, command: object) -> edge.Response:
@@ -95,7 +95,7 @@
         return edge.Response(200, data, headers)
 
     def restore(self, request: edge.Request) -> edge.Response:
-        """Replace the state by that of a snapshot."""
+        """Replace the state by that in a snapshot."""
         request.limits = attrs.evolve(request.limits, max_body_bytes=MAX_SNAPSHOT_BYTES)
         data = request.body()
         try:
@@ -122,5 +122,7 @@
 def _text(body: dict[str, Any], name: str) -> str:
     value = body.get(name)
     if not isinstance(value, str) or not value:
-        raise edge.refuse(400, reasons.Reason.INVALID_REQUEST, f"{name}: text needed")
+        raise edge.refuse(
+            400, reasons.Reason.INVALID_REQUEST, f"{name}: must be a non-empty string"
+        )
     return value
--- a/bilberrydrum/http/trainers.py
+++ b/bilberrydrum/http/trainers.py
@@ -17,7 +17,7 @@
 
 
 def add_routes(target: edge.Edge, samples: service.SampleService) -> None:
-    """Serve trainers, and operators who ask about them, at `target`."""
+    """Add the trainers' routes, and the operators' routes for trainers, to `target`."""
     routes = _Routes(samples)
     target.add("POST", "/v1/trainers/{trainer}/readers", routes.open_reader)
     target.add("POST", "/v1/trainers/{trainer}/groups", routes.add_groups)
@@ -34,7 +34,7 @@
 
     def open_reader(self, request: edge.Request) -> edge.Response:
         trainer = self._trainer(request)
-        reader: commands.Reader = _value(self._samples.open_reader(trainer))
+        reader: commands.Reader = _unwrap(self._samples.open_reader(trainer))
         answer = {"reader_epoch": reader.reader_epoch, "cursor": reader.cursor}
         return edge.Response.of_json(answer, 201)
 
@@ -42,7 +42,7 @@
         trainer = self._trainer(request)
         max_prompt_bytes = self._samples.options.samples.max_prompt_bytes
         groups = parse_groups(request.json(), max_prompt_bytes)
-        added: commands.GroupsAdded = _value(self._samples.add_groups(trainer, groups))
+        added: commands.GroupsAdded = _unwrap(self._samples.add_groups(trainer, groups))
         answer = {"n_accepted": added.n_accepted, "n_known": added.n_known}
         return edge.Response.of_json(answer, 202)
 
@@ -50,24 +50,24 @@
         trainer = self._trainer(request)
         max_wait = self._samples.options.samples.max_wait_seconds
         wait = request.query_number("wait_seconds", 0.0)
-        asked = delivery.BatchRequest(
+        batch_request = delivery.BatchRequest(
             trainer,
-            _whole(request, "reader_epoch", 1, None),
-            _whole(request, "cursor", 0, None),
-            _whole(request, "n_samples", 1, MAX_BATCH),
+            _query_integer(request, "reader_epoch", 1, None),
+            _query_integer(request, "cursor", 0, None),
+            _query_integer(request, "n_samples", 1, MAX_BATCH),
             min(max(0.0, wait), max_wait),
         )
-        delivered: delivery.Delivery = _value(self._samples.read_batch(asked))
+        delivered: delivery.Delivery = _unwrap(self._samples.read_batch(batch_request))
         return edge.Response.of_json(batch_body(trainer, delivered))
 
     def list_trainers(self, request: edge.Request) -> edge.Response:
-        trainers: queries.Trainers = _value(self._samples.trainers())
+        trainers: queries.Trainers = _unwrap(self._samples.trainers())
         listed = [_status_body(each) for each in trainers.trainers]
         return edge.Response.of_json({"trainers": listed})
 
     def show_trainer(self, request: edge.Request) -> edge.Response:
         name = request.variables["trainer"]
-        trainers: queries.Trainers = _value(self._samples.trainers())
+        trainers: queries.Trainers = _unwrap(self._samples.trainers())
         for each in trainers.trainers:
             if each.trainer == name:
                 return edge.Response.of_json(_status_body(each))
@@ -77,27 +77,31 @@
         sample_id = request.variables["sample_id"]
         parts = sample_id.split("/")
         if len(parts) != 3 or not parts[2].isdecimal():
-            detail = "a sample id is TRAINER/GROUP/SLOT"
+            detail = "a sample id must have the form TRAINER/GROUP/SLOT"
             raise edge.refuse(400, reasons.Reason.INVALID_REQUEST, detail)
         trainer, group_id, slot = parts
-        trace: queries.Trace = _value(self._samples.trace(trainer, group_id, int(slot)))
+        trace: queries.Trace = _unwrap(
+            self._samples.trace(trainer, group_id, int(slot))
+        )
         if not trace.state:
             raise edge.refuse(404, reasons.Reason.NOT_FOUND, sample_id)
         return edge.Response.of_json(_trace_body(trace))
 
     def _trainer(self, request: edge.Request) -> str:
         name = request.variables["trainer"]
-        _value(self._samples.rule(name))
+        _unwrap(self._samples.rule(name))
         return name
 
 
-def _value(answer: result.Result[Any, problems.Problem]) -> Any:
+def _unwrap(answer: result.Result[Any, problems.Problem]) -> Any:
     if answer.is_err():
         raise problems.ProblemError(answer.unwrap_err())
     return answer.unwrap()
 
 
-def _whole(request: edge.Request, name: str, least: int, most: int | None) -> int:
+def _query_integer(
+    request: edge.Request, name: str, least: int, most: int | None
+) -> int:
     text = request.query(name)
     value = int(text) if text.isdecimal() and len(text) < 19 else -1
     if value < least or (most is not None and value > most):
@@ -105,7 +109,7 @@
         raise edge.refuse(
             400,
             reasons.Reason.INVALID_REQUEST,
-            f"query parameter {name}: a whole number, {limits}, is needed",
+            f"query parameter {name}: an integer, {limits}, is required",
         )
     return value
 
@@ -113,10 +117,10 @@
 def parse_groups(
     body: dict[str, Any], max_prompt_bytes: int
 ) -> tuple[model.GroupRequest, ...]:
-    """Return the groups in a request's body; refuse with all that is wrong in it."""
+    """Return the groups in a request's body; refuse it with all errors if invalid."""
     listed = body.get("groups")
     if not isinstance(listed, list) or not 1 <= len(listed) <= MAX_GROUPS:
-        detail = f"groups: a list of 1 to {MAX_GROUPS} is needed"
+        detail = f"groups: must be a list of 1 to {MAX_GROUPS} groups"
         raise edge.refuse(400, reasons.Reason.INVALID_REQUEST, detail)
     found: list[findings.Finding] = []
     for i, value in enumerate(listed):
@@ -141,27 +145,27 @@
 
 def _group_faults(value: Any, max_prompt_bytes: int) -> list[str]:
     if not isinstance(value, dict):
-        return ["an object is needed"]
+        return ["must be an object"]
     faults = []
     group_id = value.get("group_id")
     if not isinstance(group_id, str) or not _GROUP_ID.fullmatch(group_id):
-        faults.append(f"group_id: {_GROUP_ID.pattern} is needed")
+        faults.append(f"group_id: text that matches {_GROUP_ID.pattern} is required")
     prompt = value.get("prompt")
     if not isinstance(prompt, str):
-        faults.append("prompt: a string is needed")
+        faults.append("prompt: must be a string")
     elif len(prompt.encode(errors="replace")) > max_prompt_bytes:
-        faults.append(f"prompt: more than {max_prompt_bytes} bytes")
+        faults.append(f"prompt: longer than {max_prompt_bytes} bytes")
     for name, most in (("n_slots", MAX_SLOTS), ("max_tokens", MAX_TOKENS)):
         number = value.get(name)
         if isinstance(number, bool) or not isinstance(number, int):
             number = 0
         if not 1 <= number <= most:
-            faults.append(f"{name}: a whole number, 1 to {most}, is needed")
+            faults.append(f"{name}: an integer from 1 to {most} is required")
     return faults
 
 
 def batch_body(trainer: str, delivered: delivery.Delivery) -> dict[str, Any]:
-    """Return a batch as trainers get it."""
+    """Return the JSON body of a batch for its trainer."""
     batch = delivered.batch
     return {
         "cursor": batch.acknowledged,
--- a/bilberrydrum/http/upstreams.py
+++ b/bilberrydrum/http/upstreams.py
@@ -8,14 +8,14 @@
 from bilberrydrum.http import edge
 from bilberrydrum.upstreams import announcements, registry
 
-# When an upstream that could not be served should come back, in seconds.
+# Retry-After for an upstream that could not be served, in seconds.
 _RETRY_AFTER = 0.5
 
 
 def add_routes(
     edge_: edge.Edge, options_: options.Options, registry_: registry.UpstreamRegistry
 ) -> None:
-    """Serve the upstreams' and the operators' routes under ``/v1/upstreams``."""
+    """Add the upstreams' and the operators' routes under ``/v1/upstreams``."""
     handlers = _Handlers(options_.upstreams, registry_)
     upstream, operator = edge.GUARD_UPSTREAM, edge.GUARD_OPERATOR
     path = "/v1/upstreams/{id}"
@@ -45,19 +45,19 @@
         checked = announcements.announcement(request.variables["id"], request.json())
         announcement = _valid(checked)
         _refuse_if_gone(request)
-        _done(self._registry.announce(announcement))
+        _raise_on_error(self._registry.announce(announcement))
         return edge.Response.of_json(self._lease)
 
     def renew(self, request: edge.Request) -> edge.Response:
         """Handle ``POST /v1/upstreams/{id}/renew``."""
         renewed = _valid(announcements.renewal(request.variables["id"], request.json()))
         _refuse_if_gone(request)
-        _done(self._registry.renew(renewed))
+        _raise_on_error(self._registry.renew(renewed))
         return edge.Response.of_json(self._lease)
 
     def leave(self, request: edge.Request) -> edge.Response:
         """Handle ``POST /v1/upstreams/{id}/leave``."""
-        _done(self._registry.leave(request.variables["id"]))
+        _raise_on_error(self._registry.leave(request.variables["id"]))
         return edge.Response.of_json({})
 
     def handle_cache_events(self, request: edge.Request) -> edge.Response:
@@ -82,12 +82,12 @@
 
     def drain(self, request: edge.Request) -> edge.Response:
         """Handle ``POST /v1/upstreams/{id}/drain``."""
-        _done(self._registry.drain(request.variables["id"], True))
+        _raise_on_error(self._registry.drain(request.variables["id"], True))
         return edge.Response.of_json({"is_drained": True})
 
     def undrain(self, request: edge.Request) -> edge.Response:
         """Handle ``DELETE /v1/upstreams/{id}/drain``."""
-        _done(self._registry.drain(request.variables["id"], False))
+        _raise_on_error(self._registry.drain(request.variables["id"], False))
         return edge.Response.of_json({"is_drained": False})
 
 
@@ -103,21 +103,21 @@
 
 
 def _refuse_if_gone(request: edge.Request) -> None:
-    # After this process was stopped for a while, requests wait in its sockets that
-    # upstreams have long given up on. Taken for news, one would list an upstream that
-    # is gone.
+    # After this process was suspended for a while, its sockets contain requests that
+    # upstreams gave up long ago. If such a request were handled as a current one, an
+    # upstream that is gone would be listed.
     if request.is_client_gone():
         raise edge.refuse(400, reasons.Reason.CALLER_GONE)
 
 
-def _done(reply: result.Result[None, reasons.Reason]) -> None:
+def _raise_on_error(reply: result.Result[None, reasons.Reason]) -> None:
     if isinstance(reply, result.Ok):
         return
     reason = reply.err_value
     if reason == reasons.Reason.NOT_FOUND:
         raise edge.refuse(404, reason, "announce again")
     if reason == reasons.Reason.PEER_UNREACHABLE:
-        detail = "too few gateways know of it yet; send again"
+        detail = "too few gateways have received it so far; send it again"
         raise edge.refuse(503, reason, detail, retry_after_seconds=_RETRY_AFTER)
     if reason in (reasons.Reason.STATE_UNAVAILABLE, reasons.Reason.SHUTTING_DOWN):
         detail = "this gateway is starting or stopping"
--- a/bilberrydrum/http/weights.py
+++ b/bilberrydrum/http/weights.py
@@ -1,4 +1,4 @@
-"""HTTP interface for published weights and their roll-out."""
+"""The HTTP interface for published weights and their rollout."""
 
 from typing import Any, Final
 
@@ -8,7 +8,8 @@
 from bilberrydrum.state import client
 from bilberrydrum.weights import commands, queries, rollout, status
 
-# Versions are integers that every JSON reader represents exactly.
+# Largest weight version. JSON readers with floating-point numbers represent integers
+# exactly only up to it.
 MAX_WEIGHT_VERSION: Final = 2**53 - 1
 MAX_ROLE_CHARACTERS: Final = 64
 _RETRY_AFTER_SECONDS: Final = 1.0
@@ -22,10 +23,10 @@
     registry: interfaces.Registry | None = None,
     task: rollout.WeightRollout | None = None,
 ) -> None:
-    """Serve the publication of weight versions and the roll-out's status.
+    """Add the routes to publish weight versions and to show the rollout's status.
 
-    The status needs the registry; orders and their failures are known only to the
-    process whose roll-out task holds the right to order.
+    Without a registry there is no route for the status. Only the process whose rollout
+    task holds the controller lease knows the orders and their failures.
     """
     routes = _Routes(state, bundles, registry, task)
     prefix = "/v1/trainers/{trainer}/weights"
@@ -52,21 +53,21 @@
         self._task = task
 
     def publish(self, request: edge.Request) -> edge.Response:
-        """Take a trainer's new version; sent again, the answer is the newest."""
-        return self._take(request, commands.PublishWeights)
+        """Publish a trainer's new version; a repetition is answered with the newest."""
+        return self._submit_version(request, commands.PublishWeights)
 
     def prepare(self, request: edge.Request) -> edge.Response:
-        """Have a version loaded that the trainer will publish later."""
-        return self._take(request, commands.PrepareWeights)
+        """Start loading a version that the trainer will publish later."""
+        return self._submit_version(request, commands.PrepareWeights)
 
     def set_role(self, request: edge.Request) -> edge.Response:
-        """Ask for an engine's role; an empty one ends what was asked before."""
+        """Set an engine's requested role; an empty role removes the request."""
         role = request.json().get("role")
         if not isinstance(role, str) or len(role) > MAX_ROLE_CHARACTERS:
             raise edge.refuse(
                 400,
                 reasons.Reason.INVALID_REQUEST,
-                f"role: a text of at most {MAX_ROLE_CHARACTERS} characters",
+                f"role: must be a string of at most {MAX_ROLE_CHARACTERS} characters",
             )
         command = commands.SetRole(request.variables["upstream_id"], role)
         answer = self._submit(command)
@@ -75,7 +76,7 @@
         )
 
     def show(self, request: edge.Request) -> edge.Response:
-        """Tell how far each engine is with each model."""
+        """Return the progress of each engine with each model."""
         assert self._registry is not None
         publications = self._state.query(queries.ListPublications())
         if publications.is_err():
@@ -94,7 +95,7 @@
             {"gives_orders": gives_orders, "models": codec.to_plain(models)}
         )
 
-    def _take(
+    def _submit_version(
         self,
         request: edge.Request,
         command_class: type[commands.PublishWeights] | type[commands.PrepareWeights],
@@ -128,12 +129,12 @@
 
 def _weight_version(request: edge.Request) -> int:
     value: Any = request.json().get("weight_version")
-    # JSON's true is a Python int.
+    # JSON's true would pass as an integer, as bool is a subclass of int.
     is_number = isinstance(value, int) and not isinstance(value, bool)
     if is_number and 1 <= value <= MAX_WEIGHT_VERSION:
         return int(value)
     raise edge.refuse(
         400,
         reasons.Reason.INVALID_REQUEST,
-        f"weight_version: a whole number from 1 to {MAX_WEIGHT_VERSION}",
+        f"weight_version: must be an integer from 1 to {MAX_WEIGHT_VERSION}",
     )
--- a/tests/fakes/wsgi.py
+++ b/tests/fakes/wsgi.py
@@ -1,4 +1,4 @@
-"""A client of the edge without HTTP: one WSGI call per request, in its own task."""
+"""A client that calls the edge by WSGI, without HTTP, with one task per request."""
 
 import io
 import json
@@ -12,15 +12,15 @@
 from bilberrydrum.http import edge
 
 
-def run_until(condition: Callable[[], bool], n_turns: int = 30_000) -> None:
-    """Let tasks and sockets go on until `condition` holds, whatever the clock says."""
+def run_until(condition: Callable[[], bool], max_polls: int = 30_000) -> None:
+    """Run tasks and sockets until `condition` holds, regardless of the hub's clock."""
     pause = eventlet.patcher.original("time").sleep
-    for _ in range(n_turns):
+    for _ in range(max_polls):
         if condition():
             return
         eventlet.sleep(0)
         pause(0.0001)
-    raise AssertionError("the condition did not come true")
+    raise AssertionError("the condition did not become true")
 
 
 @attrs.frozen
@@ -28,8 +28,8 @@
     status: int
     headers: dict[str, str]
     body: bytes
-    # False if the body's iterator raised, which cuts the connection.
-    is_whole: bool = True
+    # False if the body's iterator raised: a server would then cut off the connection.
+    is_complete: bool = True
 
     @property
     def document(self) -> Any:
@@ -45,7 +45,7 @@
 
 
 class _Input(io.BytesIO):
-    """A request's body, with the client's connection."""
+    """A request's body that also gives access to the client's connection."""
 
     def __init__(self, body: bytes, connection: Any) -> None:
         super().__init__(body)
@@ -56,22 +56,22 @@
 
 
 class Pending:
-    """A request on its way; `hang_up` closes the client's end."""
+    """A request in flight; `disconnect` closes the client's end of its connection."""
 
     def __init__(self, app: edge.Edge, environ: dict[str, Any], client: Any) -> None:
         self._client = client
         self._task = eventlet.spawn(self._run, app, environ)
 
-    def hang_up(self) -> None:
+    def disconnect(self) -> None:
         self._client.close()
 
-    def wait(self, n_turns: int = 30_000) -> Answer:
-        run_until(lambda: self.is_done, n_turns)
+    def wait(self, max_polls: int = 30_000) -> Answer:
+        run_until(lambda: self.is_done, max_polls)
         answer: Answer = self._task.wait()
         return answer
 
     def on_done(self, callback: Callable[[Answer], None]) -> None:
-        """Call `callback` with the answer in the moment it is whole."""
+        """Call `callback` with the answer as soon as it is complete."""
         self._task.link(lambda task: callback(task.wait()))
 
     @property
@@ -85,25 +85,25 @@
             started.append((int(status.split()[0]), dict(headers)))
 
         parts = []
-        is_whole = True
+        is_complete = True
         body = app(environ, start_response)
         try:
             for part in body:
                 parts.append(part)
         except Exception:
-            is_whole = False
+            is_complete = False
         finally:
             close = getattr(body, "close", None)
             if close is not None:
                 close()
         status, headers = started[0]
-        return Answer(status, headers, b"".join(parts), is_whole)
+        return Answer(status, headers, b"".join(parts), is_complete)
 
 
 def environ_of(
     method: str, target: str, body: bytes = b"", token: str = ""
 ) -> dict[str, Any]:
-    """Return what a WSGI server says of a request, an operator's if it has a token."""
+    """Return the WSGI environment of a request, with a bearer token if given."""
     path, _, query = target.partition("?")
     environ = {
         "REQUEST_METHOD": method,
@@ -118,7 +118,7 @@
 
 
 def call(app: edge.Edge, environ: dict[str, Any]) -> Answer:
-    """Make a request in this task, and return its whole answer."""
+    """Make a request in this task, and return the complete answer."""
     started: list[Any] = []
     parts = app(environ, lambda *head: started.append(head))
     body = b"".join(parts)
@@ -133,7 +133,7 @@
     body: Any = b"",
     headers: dict[str, str] | None = None,
 ) -> Pending:
-    """Start a request; a body that is not bytes is sent as JSON."""
+    """Start a request in a new task; a body other than bytes is sent as JSON."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     given = headers or {}
     near, far = socket.socketpair()
--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -1,4 +1,4 @@
-"""The HTTP edge: refusals are problem documents, counted, and lose nothing."""
+"""Tests of the HTTP edge: refusals, limits, streams and draining."""
 
 import contextlib
 import json
@@ -26,7 +26,7 @@
 
 
 def read_answer(connection):
-    """Read until the server closes, or nothing comes for a while."""
+    """Read until the server closes the connection, or sends nothing for 5 s."""
     connection.settimeout(5)
     parts = []
     with contextlib.suppress(OSError):
@@ -71,12 +71,12 @@
         return edge.Response(200, failing_stream())
 
     def fail(self, request):
-        raise RuntimeError("a fault of ours")
+        raise RuntimeError("a fault of the handler")
 
     def connect(self):
         return socket.create_connection(("127.0.0.1", self.port))
 
-    def ask(self, data):
+    def send(self, data):
         with self.connect() as connection:
             connection.sendall(data)
             connection.shutdown(socket.SHUT_WR)
@@ -90,12 +90,12 @@
         ("no such path", b"GET /v1/nothing", b"", 404, "not-found"),
         ("no such verb", b"DELETE /v1/echo", b"", 405, "method-not-allowed"),
         ("no token", b"GET /v1/secret", b"", 401, "unauthorized"),
-        ("our fault", b"GET /v1/broken", b"", 500, "internal-error"),
+        ("handler fails", b"GET /v1/broken", b"", 500, "internal-error"),
     )
     def test_bad_request_gets_problem_document(self, name, line, body, status, reason):
         before = refusals(reason)
         length = str(len(body)).encode()
-        answer = self.ask(
+        answer = self.send(
             line + b" HTTP/1.1\r\nContent-Length: " + length + b"\r\n\r\n" + body
         )
         self.assertTrue(answer.startswith(b"HTTP/1.1 %d " % status), answer)
@@ -126,7 +126,7 @@
     )
     def test_broken_bytes_get_problem_document(self, name, data, status, reason):
         before = refusals(reason)
-        answer = self.ask(data)
+        answer = self.send(data)
         self.assertTrue(answer.startswith(b"HTTP/1.1 %d " % status), answer)
         self.assertEqual(problem_of(answer)["reason"], reason)
         self.assertEqual(refusals(reason), before + 1)
@@ -136,49 +136,55 @@
         ("slow body", b"POST /v1/echo HTTP/1.1\r\nContent-Length: 9\r\n\r\n{"),
     )
     def test_slow_request_is_refused_in_time(self, name, data):
-        """The client sends half a request and then nothing, and keeps the connection.
+        """A client sends half of a request and then keeps the connection open.
 
-        Without a limit on the time to read, such clients use up all connections.
+        Without a limit on the time to read, such clients could occupy all connections.
         """
         with self.connect() as connection:
             connection.sendall(data)
             answer = read_answer(connection)
         self.assertEqual(problem_of(answer)["reason"], "read-timeout")
 
-    def test_connection_beyond_limit_is_refused_and_told_when_to_return(self):
-        """Two clients hold all connections; a third is answered, not left waiting."""
+    def test_connection_beyond_limit_is_refused_with_retry_after(self):
+        """Two clients hold all connections; a third one must be answered at once.
+
+        Otherwise it would wait in the kernel's queue until another one leaves.
+        """
         before = refusals("too-many-connections")
         with self.connect() as first, self.connect() as second:
             first.sendall(b"GET /healthz HTTP/1.1\r\n")
             second.sendall(b"GET /healthz HTTP/1.1\r\n")
             eventlet.sleep(0.05)
-            answer = self.ask(b"GET /healthz HTTP/1.1\r\n\r\n")
+            answer = self.send(b"GET /healthz HTTP/1.1\r\n\r\n")
         self.assertTrue(answer.startswith(b"HTTP/1.1 503 "), answer)
         self.assertIn(b"Retry-After: 1", answer)
         self.assertEqual(refusals("too-many-connections"), before + 1)
 
-    def test_stream_that_fails_is_not_ended_as_whole(self):
-        """The upstream dies in mid-stream: the caller must see that the answer is cut.
+    def test_failed_stream_has_no_last_chunk(self):
+        """The upstream fails in mid-stream, and the caller must notice the truncation.
 
-        A last chunk would pass off the part as the whole, so there must be none.
+        With a last chunk, the partial answer would look complete.
         """
-        answer = self.ask(b"GET /v1/stream HTTP/1.1\r\n\r\n")
+        answer = self.send(b"GET /v1/stream HTTP/1.1\r\n\r\n")
         self.assertIn(b"first", answer)
         self.assertNotIn(b"\r\n0\r\n\r\n", answer)
         self.assertEqual(self.edge.n_in_flight, 0)
 
     def test_rest_of_path_is_one_variable(self):
-        answer = self.ask(b"GET /v1/items/a/b/2 HTTP/1.1\r\n\r\n")
+        answer = self.send(b"GET /v1/items/a/b/2 HTTP/1.1\r\n\r\n")
         self.assertEqual(problem_of(answer), {"name": "a/b/2"})
 
-    def test_right_token_is_let_in(self):
-        answer = self.ask(
+    def test_correct_token_is_accepted(self):
+        answer = self.send(
             b"GET /v1/secret HTTP/1.1\r\nAuthorization: Bearer secret\r\n\r\n"
         )
         self.assertTrue(answer.startswith(b"HTTP/1.1 200 "), answer)
 
     def test_draining_fails_health_check_and_closes_after_answer(self):
-        """The process was told to stop: the balancer learns it, requests still end."""
+        """During a graceful shutdown, the health check must fail for load balancers.
+
+        Requests must still be answered, and their connections closed afterwards.
+        """
         self.edge.is_draining = True
         with self.connect() as connection:
             connection.sendall(b"GET /healthz HTTP/1.1\r\n\r\n")
@@ -191,15 +197,15 @@
 
 
 class Limits(unittest.TestCase):
-    """An operator narrows what clients may send."""
+    """An operator reduces the limits on requests."""
 
     @tools.params(
-        ("as the process has it", (0, 0), (512, 100)),
+        ("limits of the process", (0, 0), (512, 100)),
         ("narrower", (300, 50), (300, 50)),
-        ("wider than the process takes", (9000, 9000), (512, 100)),
+        ("wider than those of the process", (9000, 9000), (512, 100)),
         ("wider again after narrower", (300, 50), (512, 100), (0, 0)),
     )
-    def test_taken(self, name, first, expected, *later):
+    def test_apply_limits(self, name, first, expected, *later):
         own = options.LimitOptions(max_header_bytes=512, max_body_bytes=100)
         app = edge.Edge(own, {})
         for limits in (first, *later):
--- a/tests/test_http_callers.py
+++ b/tests/test_http_callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface: what runs at most once, whole answers, refusals."""
+"""Tests of the callers' interface: idempotency keys, claims and outcomes."""
 
 import attrs
 import eventlet
@@ -22,14 +22,14 @@
         ("after the answer, before it is recorded", 1, 409, "unknown"),
         ("after it is recorded, before the caller's answer", 1, 201, "completed"),
     )
-    def test_gateway_dies_and_the_caller_comes_back_through_another(
+    def test_retry_through_another_gateway_after_a_crash(
         self, point, n_bookings, status, outcome
     ):
-        """The gateway dies at each point of a booking; the caller asks another one.
+        """A gateway crashes at a point of a booking; the caller retries at another.
 
-        The booking is sent once at most. While the first gateway might still send or
-        have an answer, the caller is told at once that it is in progress; then it gets
-        what is recorded, or that the outcome is unknown, and never that it did not run.
+        The booking must be sent once at most. While the first gateway might still send
+        it or receive an answer, a retry must be refused at once as in progress. After
+        that, it must get the recorded answer or an unknown outcome, never not-run.
         """
         with helpers.manual_clock(hub_clock.now()) as clock:
             self.stop_first(point)
@@ -54,10 +54,10 @@
             self.assertEqual(again.status, status)
             self.assertEqual(self.n_bookings, n_bookings)
 
-    def test_gateway_dies_after_the_first_byte(self):
-        """The service has the booking and the gateway dies: it may have run.
+    def test_gateway_crashes_after_the_first_byte(self):
+        """The gateway crashes when the service has received the booking.
 
-        Nobody sends it again; the caller hears that the outcome is unknown.
+        It may have run, so no gateway may send it again, and the outcome is unknown.
         """
         self.application.script = lambda connection, received: eventlet.sleep(1e6)
         with helpers.manual_clock(hub_clock.now()) as clock:
@@ -70,7 +70,7 @@
             self.assertEqual((answer.status, answer.outcome), (409, "unknown"))
             self.assertEqual(self.n_bookings, 1)
 
-    def test_retries_after_the_answer_get_the_same_answer_everywhere(self):
+    def test_retries_at_any_gateway_get_the_recorded_answer(self):
         answers = [self.first.book().wait()]
         answers += [self.first.book().wait(), self.second.book().wait()]
         for answer in answers:
@@ -78,12 +78,11 @@
         self.assertEqual(self.n_bookings, 1)
 
     def test_gateway_stopped_between_claim_and_dispatch_sends_nothing_later(self):
-        """A gateway claims a key and is stopped; the caller asks another one.
+        """A gateway claims a key and is suspended; the caller retries at another.
 
-        That one waits until the first can't send any more, and calls the outcome
-        unknown. When the first goes on, with a connection to make and the claim it
-        held, it must not send: the caller has acted on "unknown", and may have booked
-        in some other way.
+        The second gateway waits until the first may no longer send, and then records
+        the outcome as unknown. When the first one resumes, it still has its claim but
+        must not send: the caller may have booked in some other way by then.
         """
         with helpers.manual_clock(hub_clock.now()) as clock:
             self.stop_first("after the claim, before the first byte")
@@ -100,10 +99,13 @@
             self.assertEqual(late.outcome, "unknown")
             self.assertEqual(self.second.book().wait().reason, "outcome-unknown")
 
-    def test_no_gateway_calls_unknown_what_another_may_still_send(self):
-        """The time of the claim's holder ends before anyone else's time for it."""
+    def test_outcome_is_not_unknown_while_the_holder_may_send(self):
+        """The holder's time to send must end before other gateways resolve the claim.
+
+        Otherwise a request could run after its outcome was recorded as unknown.
+        """
         with helpers.manual_clock(hub_clock.now()) as clock:
-            asked_at = clock.now
+            requested_at = clock.now
             held = self.first.claims.claim("desk", "k", "d", 30.0).ok_value
             self.assertIsInstance(held, claims.Held)
             # The other gateway sees the claim as early as it can.
@@ -114,14 +116,15 @@
                 found = self.second.claims.find("desk", "k").ok_value
                 if held.may_send():
                     self.assertNotIsInstance(found, claims.Recorded)
-                    self.assertLess(clock.now, asked_at + claims.SEND_SECONDS)
+                    self.assertLess(clock.now, requested_at + claims.SEND_SECONDS)
             self.assertIsInstance(found, claims.Recorded)
 
     def test_stopped_gateway_does_not_send_for_a_caller_that_left(self):
-        """A gateway is stopped before it claims; its caller gives up and leaves.
+        """A gateway is suspended before it claims the key, and its caller disconnects.
 
-        The caller asks another gateway, which is full and says not-run; the caller
-        believes it. The first gateway goes on and could claim the key then.
+        The caller retries at another gateway, which refuses with the outcome not-run.
+        When the first gateway resumes, it must not claim the key and send the request,
+        which would make that outcome wrong.
         """
         self.stop_first("before the claim")
         pending = self.first.book()
@@ -129,7 +132,7 @@
         self.registry.upstreams.clear()
         refused = self.second.book().wait()
         self.assertEqual((refused.reason, refused.outcome), ("no-upstream", "not-run"))
-        pending.hang_up()
+        pending.disconnect()
         self.registry.upstreams["a1"] = self.application.upstream("a1")
         eventlet.sleep(0.05)
         self.first.state.stops_before = None
@@ -144,14 +147,14 @@
             self.assertEqual((answer.status, answer.reason), (422, "key-reused"))
         self.assertEqual(self.n_bookings, 1)
 
-    def test_keys_of_two_callers_are_two(self):
+    def test_equal_keys_of_two_callers_are_different_keys(self):
         self.first.book().wait()
         answer = self.first.book(X_Caller="other").wait()
         self.assertEqual(answer.status, 201)
         self.assertEqual(self.n_bookings, 2)
 
     def begin_slow_booking(self):
-        """Book at a service that has the booking and answers once told to."""
+        """Book at a service that answers when the returned event is sent."""
         done = eventlet.event.Event()
 
         def slow(connection, received):
@@ -164,7 +167,7 @@
         return done, pending
 
     def test_retry_while_in_progress_is_answered_at_once(self):
-        """The service takes its time; the caller's retry must not be held as well."""
+        """The service is slow; a retry must be refused at once and not wait as well."""
         done, pending = self.begin_slow_booking()
         for gateway in (self.first, self.second):
             answer = gateway.book().wait()
@@ -177,7 +180,10 @@
         self.assertEqual(self.n_bookings, 1)
 
     def test_connection_refused_frees_the_key(self):
-        """No byte went out: the booking is known not to have run, and may run yet."""
+        """The connection is refused, so the booking has not run and may be sent later.
+
+        If the key stayed claimed, all retries would be refused.
+        """
         self.application.stop()
         answer = self.first.book().wait()
         self.assertEqual((answer.status, answer.outcome), (503, "not-run"))
@@ -195,7 +201,10 @@
         ("another's answer", lambda r: scripted.answer(r, b"no", request_id="x")),
     )
     def test_connection_lost_after_the_request_leaves_it_unknown(self, name, make):
-        """The service broke off after it had the booking: it may have booked."""
+        """The connection fails after the service received the booking.
+
+        It may have run, so the outcome is unknown and no retry may send it again.
+        """
         self.application.script = scripted.serve_and_close(make)
         answer = self.first.book().wait()
         self.assertEqual((answer.status, answer.outcome), (502, "unknown"), name)
@@ -205,8 +214,8 @@
             self.assertEqual((answer.status, answer.outcome), (409, "unknown"))
         self.assertEqual(self.n_bookings, 1)
 
-    def test_result_that_comes_after_all_replaces_unknown(self):
-        """Another gateway gave up on the claim; then its holder has the answer."""
+    def test_late_result_replaces_the_unknown_outcome(self):
+        """Another gateway resolves the claim; then its holder receives the answer."""
         done, pending = self.begin_slow_booking()
         command = self.group.submitted[0]
         self.group.submit(
@@ -228,9 +237,9 @@
         self.assertEqual(self.n_bookings, 1)
 
     def test_request_without_a_key_is_sent_once(self):
-        """A POST without a key is reset after its bytes went out.
+        """The connection of a POST without a key is reset after the request was sent.
 
-        Nobody said that it may be repeated, so it isn't, and its outcome is unknown.
+        A POST is not idempotent, so it must not be retried. Its outcome is unknown.
         """
         self.application.script = scripted.serve_and_close(lambda received: b"")
         answer = self.first.send("POST", "/apps/schedule/book", b"x").wait()
@@ -262,11 +271,11 @@
 
 
 class NoMajority(deployment.Deployment):
-    def test_what_needs_a_claim_is_refused_as_unknown_and_the_rest_goes_on(self):
-        """The state group has no majority: no key can be looked up or claimed.
+    def test_only_requests_with_a_key_are_refused_as_unknown(self):
+        """The state group has no majority, so no key can be looked up or claimed.
 
-        A booking is refused without being sent. It may have run before, so it isn't
-        called not-run. Lookups need no claim and go on.
+        A booking is refused without being sent. An earlier attempt may have run, so the
+        outcome must not be not-run. Lookups need no claim and are still served.
         """
         self.first.book("earlier").wait()
         self.group.has_majority = False
@@ -282,10 +291,10 @@
         self.assertEqual(lookup.status, 201)
 
     def test_answer_reaches_the_caller_when_it_cannot_be_recorded(self):
-        """The majority is lost while the service books: the answer is true still.
+        """The majority is lost while the service books; its answer is still valid.
 
-        The caller of a retry hears "in progress", then "unknown", and nothing is sent
-        again.
+        It must reach the caller even though it cannot be recorded. A retry must not
+        send the booking again.
         """
 
         def book(connection, received):
@@ -306,8 +315,11 @@
             self.assertIn(self.second.book().wait().status, (201, 409))
         self.assertEqual(self.n_bookings, 1)
 
-    def test_claim_whose_answer_was_lost_is_given_back(self):
-        """The claim was committed and its answer lost: the key must not stay taken."""
+    def test_claim_whose_answer_was_lost_is_released(self):
+        """A claim is committed, but the gateway does not receive the answer.
+
+        If the claim were not released, retries would find the key in progress.
+        """
         self.group.loses_answers = True
         answer = self.first.book().wait()
         self.assertEqual(
@@ -323,7 +335,7 @@
 
 
 class NotRun(deployment.Deployment):
-    """A refusal says not-run only when it is true of the request."""
+    """A refusal has the outcome not-run only if the request has not run anywhere."""
 
     def lose_lease(self):
         self.second.bundles.bundle = result.Err(Reason.BUNDLE_LEASE_EXPIRED)
@@ -348,13 +360,11 @@
         ("forbid_caller", "caller-not-allowed"),
         ("lose_application", "application-unknown"),
     )
-    def test_refused_retry_of_what_ran_elsewhere_is_not_called_not_run(
-        self, how, reason
-    ):
-        """A booking ran through one gateway; another one refuses its retry.
+    def test_refused_retry_of_a_completed_request_says_completed(self, how, reason):
+        """A booking ran through one gateway, and another one refuses its retry.
 
-        The refusal is about this attempt. Called not-run, the caller would book again
-        under another key.
+        The refusal concerns the retry only. If its outcome were not-run, the caller
+        would book again with another key.
         """
         self.first.book().wait()
         getattr(self, how)()
--- a/tests/test_http_refusals.py
+++ b/tests/test_http_refusals.py
@@ -1,4 +1,4 @@
-"""What callers are refused, at arrival and after waiting for a place."""
+"""Tests of refusals to callers, at once and after waiting in the queue."""
 
 import attrs
 import eventlet
@@ -12,7 +12,7 @@
 
 
 class Waiting(deployment.Deployment):
-    """The one place of the service is taken; further calls wait at the gateway."""
+    """The service is at its concurrency limit of 1; further calls are queued."""
 
     def setUp(self):
         super().setUp()
@@ -25,7 +25,7 @@
         self.done.wait()
         connection.sendall(self.book(received))
 
-    def take_place(self):
+    def occupy_service(self):
         pending = self.first.book("taker")
         wsgi.run_until(lambda: self.n_bookings == 1)
         return pending
@@ -37,15 +37,13 @@
             "caller-not-allowed",
         ),
     )
-    def test_bundle_that_is_over_by_the_time_of_sending_is_not_acted_on(
-        self, bundle, reason
-    ):
-        """A call waits for a place; the lease runs out, or another bundle is rolled.
+    def test_queued_call_is_not_sent_under_an_outdated_bundle(self, bundle, reason):
+        """While a call is queued, the lease expires or another bundle is rolled.
 
-        When its place comes, nothing may be sent by the bundle it came in under: the
-        operator was told that the new one is in force everywhere.
+        The call must not be sent under the bundle under which it was admitted: the
+        operator has seen that the new bundle is in force everywhere.
         """
-        taker = self.take_place()
+        taker = self.occupy_service()
         for key in ("", "waiter"):
             headers = {"Idempotency_Key": key} if key else {}
             waiting = self.first.send("GET", "/apps/schedule/x", **headers)
@@ -65,11 +63,12 @@
         self.done.send(None)
         taker.wait()
 
-    def test_full_queue_costs_no_claims_and_still_gives_results_again(self):
-        """The queue is full and callers retry at once.
+    def test_full_queue_makes_no_claims_and_still_replays_results(self):
+        """The queue is full, and callers retry at once.
 
-        A claim for each refusal would fill the state group with them. What ran before
-        is still given again, and a key with another body is still refused.
+        If each refused request were claimed first, the claims would overload the state
+        group. Recorded results must still be replayed, and a key with another body must
+        still be refused.
         """
         self.done.send(None)
         self.first.book("earlier").wait()
--- a/tests/test_http_streams.py
+++ b/tests/test_http_streams.py
@@ -1,4 +1,4 @@
-"""Streams to callers, and what they see when an engine fails."""
+"""Tests of streams to callers, and of their end when an engine fails."""
 
 import json
 
@@ -18,21 +18,21 @@
         connection.sendall(scripted.stream_head(received) + scripted.chunk(part))
         return False
 
-    def test_stream_that_fails_ends_without_its_marker_and_with_a_cut(self):
-        """The engine crashes mid-stream and no other can go on.
+    def test_failed_stream_ends_with_an_error_and_is_cut_off(self):
+        """The engine crashes mid-stream, and no other engine can resume the stream.
 
-        The caller gets an error event; then its connection is cut, so that neither the
-        marker nor the end of the body makes it look whole.
+        The caller must get an error event, and then neither the [DONE] marker nor the
+        end of the body. With either of them, the partial answer would look complete.
         """
         self.engine("e1", self.crash)
         answer = self.complete()
         self.assertEqual(answer.status, 200)
-        self.assertFalse(answer.is_whole)
+        self.assertFalse(answer.is_complete)
         self.assertNotIn(b"[DONE]", answer.body)
         last = answer.body.strip().split(b"\n\n")[-1].removeprefix(b"data: ")
         self.assertEqual(json.loads(last)["error"]["outcome"], "unknown")
 
-    def test_stream_is_whole_when_another_engine_goes_on(self):
+    def test_stream_is_complete_if_another_engine_resumes_it(self):
         self.engine("e1", self.crash, availability_zone="a")
         self.engine(
             "e2",
@@ -41,15 +41,15 @@
             can_resume=True,
         )
         answer = self.complete()
-        self.assertTrue(answer.is_whole)
+        self.assertTrue(answer.is_complete)
         self.assertTrue(answer.body.endswith(b"data: [DONE]\n\n"))
 
-    def test_failure_before_the_first_token_is_told_by_the_status(self):
+    def test_failure_before_the_first_token_sets_the_status(self):
         self.engine("e1", scripted.serve_and_close(lambda received: b""))
         answer = self.complete()
         self.assertEqual((answer.status, answer.outcome), (502, "unknown"))
 
-    def test_whole_answer_that_is_cut_is_a_failure(self):
+    def test_truncated_answer_without_streaming_is_a_failure(self):
         self.engine("e1", self.crash)
         answer = self.complete(stream=False)
         self.assertEqual((answer.status, answer.reason), (502, "answer-truncated"))
--- a/tests/test_interface_page.py
+++ b/tests/test_interface_page.py
@@ -1,4 +1,4 @@
-"""The interface page has a call for each endpoint there is, and for no other."""
+"""The interface page must have an example call for each existing route only."""
 
 import pathlib
 import re
--- a/tests/test_requests_schedules.py
+++ b/tests/test_requests_schedules.py
@@ -85,7 +85,7 @@
 
     def hang_up(self):
         if self.pending:
-            self.pending.pop(self.rng.randrange(len(self.pending))).hang_up()
+            self.pending.pop(self.rng.randrange(len(self.pending))).disconnect()
 
     def lose_majority(self):
         self.group.has_majority = not self.group.has_majority
