--- a/tests/test_edge.py
+++ b/tests/test_edge.py
@@ -210,6 +210,6 @@
         app = edge.Edge(own, {})
         for limits in (first, *later):
             app.apply_limits(*limits)
-        taken = app._limits
-        found = (taken.max_header_bytes, taken.max_body_bytes)
+        applied = app._limits
+        found = (applied.max_header_bytes, applied.max_body_bytes)
         self.assertEqual(found, expected, name)
--- a/tests/test_http_refusals.py
+++ b/tests/test_http_refusals.py
@@ -111,15 +111,15 @@
     def test_bad_input_is_refused_with_its_reason(
         self, name, headers, body, status, reason
     ):
-        whole = {"model": "planner", "prompt": "p", "max_tokens": 3}
+        valid = {"model": "planner", "prompt": "p", "max_tokens": 3}
         if name in ("no model", "no prompt"):
-            whole = {}
+            valid = {}
         if body is None:
             body = {}
         if isinstance(body, dict):
             if body.get("model") == "x":
-                whole = {"prompt": "p"}
-            body = whole | body
+                valid = {"prompt": "p"}
+            body = valid | body
         answer = self.first.send("POST", "/v1/completions", body, **headers).wait()
         self.assertEqual((answer.status, answer.reason), (status, reason), name)
         self.assertEqual(answer.outcome, "not-run")
