--- a/bilberrydrum/samples/__init__.py
+++ b/bilberrydrum/samples/__init__.py
@@ -1,1 +1,1 @@
-"""Samples: groups, provenance, staleness, delivery and weight roll-out."""
+"""Samples: groups, provenance, staleness and delivery."""
--- a/bilberrydrum/samples/applying.py
+++ b/bilberrydrum/samples/applying.py
@@ -1,8 +1,8 @@
-"""What the commands on the samples do to the replicated state.
+"""Implementation of the commands on the samples in the replicated state.
 
-All rules of delivery are applied here, so they hold whatever gateway a command comes
-from, and however often it comes: each command that is applied again finds its own
-effect and gives the same answer.
+All rules of delivery are enforced here, so they hold for commands from any gateway. A
+command may be applied more than once: a repeat finds the effect of the first and does
+not apply it again. Only `OpenReader` raises the reader epoch each time.
 """
 
 import attrs
@@ -55,7 +55,7 @@
     requests_by_id: dict[str, model.GroupRequest],
     group_id: str,
 ) -> bytes | None:
-    """Return the digest of the group that has this id, also of one long delivered.
+    """Return the digest of the group with this id, even if it was delivered already.
 
     A trainer that resends its groups after a lost answer must not get them twice.
     """
@@ -75,7 +75,7 @@
     group = section.Group(request, trainer.n_groups_accepted, "", 0, slots)
     trainer.groups_by_id[request.group_id] = group
     trainer.n_open_slots += request.n_slots
-    ownership.give(samples, group, ownership.pick(samples))
+    ownership.set_owner(samples, group, ownership.choose_owner(samples))
     return group.owner
 
 
@@ -138,31 +138,35 @@
 ) -> commands.Recorded:
     for name, rule in command.rules_by_trainer.items():
         _adopt_rule(section.trainer_of(state, name), rule)
-    refusals = tuple(_take(state, each) for each in command.records)
+    refusals = tuple(_apply_record(state, each) for each in command.records)
     return commands.Recorded(refusals, context.index)
 
 
-def _take(state: machine.State, taken: commands.SlotRecord) -> reasons.Reason | None:
-    trainer = section.trainer_of(state, taken.trainer)
-    group = trainer.groups_by_id.get(taken.group_id)
-    if group is None or not 0 <= taken.slot < len(group.slots):
+def _apply_record(
+    state: machine.State, slot_record: commands.SlotRecord
+) -> reasons.Reason | None:
+    trainer = section.trainer_of(state, slot_record.trainer)
+    group = trainer.groups_by_id.get(slot_record.group_id)
+    if group is None or not 0 <= slot_record.slot < len(group.slots):
         return reasons.Reason.ATTEMPT_SUPERSEDED
-    if group.owner_epoch != taken.record.owner_epoch:
+    if group.owner_epoch != slot_record.record.owner_epoch:
         return reasons.Reason.EPOCH_STALE
-    slot = group.slots[taken.slot]
+    slot = group.slots[slot_record.slot]
     if slot.record is not None:
-        is_repeat = slot.record.payload_digest == taken.record.payload_digest
-        is_repeat = is_repeat and slot.record.attempt == taken.record.attempt
+        is_repeat = slot.record.payload_digest == slot_record.record.payload_digest
+        is_repeat = is_repeat and slot.record.attempt == slot_record.record.attempt
         return None if is_repeat else reasons.Reason.ATTEMPT_SUPERSEDED
-    # A record that was given up (too old, payload lost) and comes again must not come
-    # back to life.
-    if taken.record.attempt <= slot.n_attempts:
+    # A record that was discarded (too stale, or its payload lost) must not be restored
+    # when its command is repeated.
+    if slot_record.record.attempt <= slot.n_attempts:
         return reasons.Reason.ATTEMPT_SUPERSEDED
-    newest = weight_commands.newest_version(state, taken.trainer)
-    if not staleness.is_fit(taken.record, newest, trainer.rule.staleness_bound):
-        slot.n_attempts = taken.record.attempt
+    newest = weight_commands.newest_version(state, slot_record.trainer)
+    if not staleness.is_within_bound(
+        slot_record.record, newest, trainer.rule.staleness_bound
+    ):
+        slot.n_attempts = slot_record.record.attempt
         return reasons.Reason.SAMPLE_STALE
-    section.take_record(trainer, group, slot, taken.record)
+    section.set_record(trainer, group, slot, slot_record.record)
     return None
 
 
@@ -178,7 +182,8 @@
     section.acknowledge(samples, trainer, command.cursor)
     _adopt_rule(trainer, command.rule)
     newest = weight_commands.newest_version(state, command.trainer)
-    # What waits for its position is checked too, or it would be assigned too old.
+    # Samples without a position are checked too; otherwise they could be assigned
+    # although they are too stale.
     expired = _expire(samples, trainer, newest, only_waiting=False)
     if trainer.n_assigned == trainer.acknowledged:
         _assign_ready(trainer, command.n_samples)
@@ -189,7 +194,7 @@
 def check_reader(
     trainer: section.Trainer, reader_epoch: int, cursor: int
 ) -> reasons.Reason | None:
-    """Return why this reader may not read at `cursor`; None: it may."""
+    """Return why this reader may not read at `cursor`, or None if it may."""
     if reader_epoch != trainer.reader_epoch or reader_epoch == 0:
         return reasons.Reason.READER_SUPERSEDED
     if not trainer.acknowledged <= cursor <= trainer.n_assigned:
@@ -198,18 +203,19 @@
 
 
 def _assign_ready(trainer: section.Trainer, n_samples: int) -> None:
-    """Give positions to slots of whole groups, the oldest group first.
+    """Assign positions to the slots of complete groups, the oldest group first.
 
-    Trainers compare the samples of a group with one another, so its samples follow one
-    another. A whole group goes before an older one that is not: but taking single slots
-    as they end would fill the batches with short samples.
+    Trainers compare the samples of a group with one another, so they get consecutive
+    positions. A complete group goes before an older one that is incomplete. Slots are
+    not assigned one by one as their samples finish, because the batches would then fill
+    with short samples.
     """
     if trainer.n_ready < n_samples:
         return
     ready = [
         (group, i)
         for group in trainer.groups_by_id.values()
-        if section.is_whole(group)
+        if section.is_complete(group)
         for i, slot in enumerate(group.slots)
         if slot.position == model.UNASSIGNED
     ]
@@ -218,7 +224,7 @@
 
 
 def batch_at(trainer: section.Trainer, newest_version: int) -> commands.Batch:
-    """Return the assigned batch, if all of it is there."""
+    """Return the assigned batch, or a refusal if it is incomplete."""
     assigned = []
     slots = []
     for position in range(trainer.acknowledged, trainer.n_assigned):
@@ -231,8 +237,8 @@
             commands.Assigned(position, ref.group_id, ref.slot, age, slot.record)
         )
         slots.append(slot)
-    is_whole = len(assigned) == trainer.n_assigned - trainer.acknowledged
-    if not assigned or not is_whole:
+    is_complete = len(assigned) == trainer.n_assigned - trainer.acknowledged
+    if not assigned or not is_complete:
         refusal = reasons.Reason.BATCH_NOT_READY
         return commands.Batch(
             refusal, trainer.acknowledged, trainer.n_assigned, newest_version
@@ -264,11 +270,11 @@
     newest_version: int,
     only_waiting: bool,
 ) -> commands.Expired:
-    """Give up the samples that are past the bound.
+    """Discard the samples that exceed the staleness bound.
 
-    Samples with a position may have been received already: they are given up only when
-    the trainer asks for them again, else a sample in the trainer's hands would be made
-    a second time for nothing.
+    Samples with a position may have been received already. They are discarded only when
+    the trainer requests them again; otherwise a sample that the trainer has received
+    would be generated a second time for nothing.
     """
     n_expired = 0
     owners = set()
@@ -278,10 +284,10 @@
             continue
         if only_waiting and slot.position != model.UNASSIGNED:
             continue
-        if staleness.is_fit(slot.record, newest_version, bound):
+        if staleness.is_within_bound(slot.record, newest_version, bound):
             continue
         section.clear_record(trainer, group, slot)
-        ownership.wake(samples, group)
+        ownership.bump_owner_revision(samples, group)
         owners.add(group.owner)
         n_expired += 1
     return commands.Expired(n_expired, tuple(sorted(owners)))
@@ -300,20 +306,20 @@
         if group is None or lost.position < trainer.acknowledged:
             continue
         slot = group.slots[lost.slot]
-        # The report may be about an attempt that was replaced meanwhile.
+        # The report may refer to an attempt that was replaced in the meantime.
         if slot.record is None or slot.record.attempt != lost.record.attempt:
             continue
         if slot.record.owner_epoch != lost.record.owner_epoch:
             continue
         section.clear_record(trainer, group, slot)
-        ownership.wake(samples, group)
+        ownership.bump_owner_revision(samples, group)
         owners.add(group.owner)
         n_expired += 1
     return commands.Expired(n_expired, tuple(sorted(owners)))
 
 
 def _adopt_rule(trainer: section.Trainer, rule: model.Rule) -> None:
-    # A gateway that has not heard of the newest bundle must not bring an older bound
-    # back after another gateway has acted on the newer one.
+    # A gateway that has not received the newest bundle yet must not restore an older
+    # bound after another gateway has applied the newer one.
     if rule.bundle_version >= trainer.rule.bundle_version:
         trainer.rule = rule
--- a/bilberrydrum/samples/attempts.py
+++ b/bilberrydrum/samples/attempts.py
@@ -1,7 +1,7 @@
-"""One attempt at a slot: generate, score, and hand over what was made.
+"""One attempt at a slot: generate a sample and have it scored.
 
-An attempt runs in a task of its own. It is stopped by killing the task, which closes
-the stream and so cancels the work at the engine.
+An attempt runs in its own task. It is stopped by killing the task, which closes the
+stream and so cancels the work at the engine.
 """
 
 import json
@@ -17,25 +17,27 @@
 from bilberrydrum.requests import model as request_model
 from bilberrydrum.samples import model, provenance, scheduling, staleness
 
-# Longest time one stream may take.
-STREAM_SECONDS: Final = 3600.0
-SCORE_SECONDS: Final = 60.0
+# Longest time that one stream may take.
+STREAM_TIMEOUT_SECONDS: Final = 3600.0
+SCORE_TIMEOUT_SECONDS: Final = 60.0
 SCORE_BACKOFF_SECONDS: Final = 0.1
 MAX_SCORE_BACKOFF_SECONDS: Final = 5.0
-# Times that one attempt goes on at another engine before it is made anew.
+# Number of times that one attempt is resumed at another engine before it fails and a
+# new attempt is started.
 MAX_RESUMES: Final = 3
-# Calls of urgent slots go before others of the same trainer; at the engine all of them
-# go after callers' requests, which wait for an answer each.
+# Calls for urgent slots go before other calls of the same trainer. At the engine both
+# go after callers' requests, each of which has a caller waiting for the answer.
 PRIORITY_URGENT: Final = 9
 PRIORITY_NORMAL: Final = 10
-# Attempts that may wait at an engine per place it has; without them a place stays empty
-# from the end of one attempt until the engine's report of it was heard.
+# Attempts that may wait at an engine per run slot of the engine. Without them, a run
+# slot would stay empty from the end of one attempt until the engine's report of it is
+# received.
 QUEUE_DEPTH: Final = 0.5
 
 
 @attrs.frozen
-class Made:
-    """A scored attempt."""
+class ScoredAttempt:
+    """A finished attempt and its score."""
 
     upstream_id: str
     segments: tuple[model.Segment, ...]
@@ -45,7 +47,7 @@
 
 @attrs.frozen
 class Task:
-    """What an attempt has to make."""
+    """The input of an attempt."""
 
     start: scheduling.Start
     request: model.GroupRequest
@@ -68,7 +70,7 @@
 
 @attrs.define
 class Attempt:
-    """Makes one attempt with the dispatcher's help."""
+    """Runs one attempt through the dispatcher."""
 
     task: Task
     bundles: interfaces.BundleView
@@ -77,11 +79,11 @@
     # Called with the engine's id and the number of tokens.
     on_progress: Callable[[str, int], None]
     on_generated: Callable[[], None]
-    trail: provenance.Trail = attrs.field(factory=provenance.Trail)
+    output: provenance.PartialOutput = attrs.field(factory=provenance.PartialOutput)
     upstream_id: str = ""
 
-    def run(self) -> result.Result[Made, reasons.Reason]:
-        """Return the scored attempt, or why it came to nothing."""
+    def run(self) -> result.Result[ScoredAttempt, reasons.Reason]:
+        """Return the scored attempt, or the reason why it failed."""
         segments = self._generate()
         if segments.is_err():
             return result.Err(segments.unwrap_err())
@@ -90,11 +92,11 @@
         if score.is_err():
             return result.Err(score.unwrap_err())
         return result.Ok(
-            Made(
+            ScoredAttempt(
                 self.upstream_id,
                 segments.unwrap(),
                 score.unwrap(),
-                self.trail.payload(),
+                self.output.payload(),
             )
         )
 
@@ -103,7 +105,7 @@
         for n_resumes in range(MAX_RESUMES + 1):
             ended = self._stream(self._call(n_resumes, frozenset(excluded)))
             if ended.is_ok():
-                return self.trail.finish(ended.unwrap(), self.task.request.max_tokens)
+                return self.output.finish(ended.unwrap(), self.task.request.max_tokens)
             failed = ended.unwrap_err()
             if failed.reason in (
                 reasons.Reason.SAMPLE_STALE,
@@ -129,12 +131,12 @@
             prompt=task.request.prompt,
             max_tokens=task.request.max_tokens,
             client=task.start.key.trainer,
-            deadline=clock.now() + STREAM_SECONDS,
+            deadline=clock.now() + STREAM_TIMEOUT_SECONDS,
             share=rule.share,
             priority=PRIORITY_URGENT if task.is_urgent else PRIORITY_NORMAL,
             adapter=rule.adapter,
             min_weight_version=max(-1, newest - rule.staleness_bound),
-            resume_token_ids=tuple(self.trail.token_ids),
+            resume_token_ids=tuple(self.output.token_ids),
             excluded_upstream_ids=excluded,
             expected_tokens=task.request.max_tokens,
             queue_depth=QUEUE_DEPTH,
@@ -151,9 +153,9 @@
                 self.upstream_id = event.upstream_id
                 if isinstance(event, request_model.Finished):
                     return result.Ok(event)
-                self.trail.add(event)
+                self.output.add(event)
                 self.on_progress(event.upstream_id, len(event.token_ids))
-                reason = self._hopeless()
+                reason = self._discard_reason()
                 if reason is not None:
                     return result.Err(request_model.Failed(reason, True))
         finally:
@@ -166,23 +168,23 @@
             )
         )
 
-    def _hopeless(self) -> reasons.Reason | None:
-        """Return why the attempt can't become a sample any more."""
-        if self.trail.fault:
+    def _discard_reason(self) -> reasons.Reason | None:
+        """Return why the attempt can no longer become a sample, or None."""
+        if self.output.fault:
             return reasons.Reason.SAMPLE_UNTRACEABLE
-        if not self.is_fit():
+        if not self.is_within_bound():
             return reasons.Reason.SAMPLE_STALE
         return None
 
-    def is_fit(self) -> bool:
-        """Tell whether what is made so far is within the bound in force now."""
+    def is_within_bound(self) -> bool:
+        """Return whether the output so far is within the bound currently in force."""
         current = self.bundles.current()
         bound = self.task.rule.staleness_bound
         if current.is_ok():
             rule = current.unwrap().trainers.get(self.task.start.key.trainer)
             bound = bound if rule is None else rule.staleness_bound
-        return staleness.can_still_be_fit(
-            self.trail.segments, self._newest_version(), bound
+        return staleness.can_be_within_bound(
+            self.output.segments, self._newest_version(), bound
         )
 
     def _newest_version(self) -> int:
@@ -190,9 +192,9 @@
         return versions.get(self.task.start.key.trainer, 0)
 
     def _can_resume(self, failed: request_model.Failed) -> bool:
-        if not self.trail.token_ids or not failed.upstream_id:
+        if not self.output.token_ids or not failed.upstream_id:
             return False
-        if len(self.trail.token_ids) >= self.task.request.max_tokens:
+        if len(self.output.token_ids) >= self.task.request.max_tokens:
             return False
         model_name = self.task.rule.model
         return any(
@@ -209,15 +211,16 @@
             if score is not None:
                 return result.Ok(score)
             counters.retried(reasons.Reason.SCORER_FAILED)
-            # The tokens are good; only the age of the sample ends the waiting.
-            if not self.is_fit():
+            # The generated tokens remain valid, so scoring is retried until the sample
+            # becomes too stale.
+            if not self.is_within_bound():
                 return result.Err(reasons.Reason.SAMPLE_STALE)
             clock.sleep(delay)
             delay = min(MAX_SCORE_BACKOFF_SECONDS, 2 * delay)
 
     def _score_once(self) -> float | None:
         key = self.task.start.key
-        payload = self.trail.payload()
+        payload = self.output.payload()
         body = {
             "sample_id": self.task.sample_id,
             "group_id": key.group_id,
@@ -234,7 +237,7 @@
                 headers=(("Content-Type", "application/json"),),
                 body=json.dumps(body).encode(),
                 client=key.trainer,
-                deadline=clock.now() + SCORE_SECONDS,
+                deadline=clock.now() + SCORE_TIMEOUT_SECONDS,
                 share=self.task.rule.share,
                 is_idempotent=True,
             )
@@ -245,14 +248,14 @@
 
 
 def read_score(answer: request_model.ApplicationAnswer, sample_id: str) -> float | None:
-    """Return the score in a scorer's answer; None if it is none for this sample."""
+    """Return the score in a scorer's answer, or None if it has none for the sample."""
     if answer.status != 200:
         return None
     try:
         body = json.loads(answer.body)
     except ValueError:
         return None
-    # A scorer that mixes up its answers would put one sample's score on another.
+    # If a scorer mixed up its answers, a sample would get the score of another one.
     if not isinstance(body, dict) or body.get("sample_id") != sample_id:
         return None
     score = body.get("score")
--- a/bilberrydrum/samples/capacity.py
+++ b/bilberrydrum/samples/capacity.py
@@ -1,4 +1,4 @@
-"""How many attempts one owner keeps in flight."""
+"""The number of attempts that one owner keeps in flight."""
 
 import math
 from collections.abc import Mapping
@@ -8,8 +8,9 @@
 from bilberrydrum.samples import scheduling
 from bilberrydrum.upstreams import model as upstream_model
 
-# Attempts per place at the engines: groups are not spread evenly over the owners at
-# every moment, and an engine should find its next request waiting.
+# Attempts in flight per run slot of the engines. It is above 1 because the groups are
+# not always spread evenly over the owners, and because an engine should have its next
+# request waiting.
 OVERCOMMIT: Final = 2.0
 
 
@@ -20,20 +21,20 @@
 ) -> list[scheduling.Pool]:
     """Return a pool for each model that trainers use.
 
-    Each owner takes an even part of the engines' places; the engines are not known to
-    be this gateway's alone.
+    Other gateways may use the same engines, so each owner takes an equal part of their
+    capacity.
     """
     shares_by_model: dict[str, dict[str, float]] = {}
     for name, rule in bundle.trainers.items():
         shares_by_model.setdefault(rule.model, {})[name] = max(rule.share, 1e-6)
     pools_ = []
     for model_name, shares in shares_by_model.items():
-        places = _places(model_name, upstreams_by_id) / max(1, n_gateways)
-        pools_.append(scheduling.Pool(math.ceil(OVERCOMMIT * places), shares))
+        capacity = _engine_capacity(model_name, upstreams_by_id) / max(1, n_gateways)
+        pools_.append(scheduling.Pool(math.ceil(OVERCOMMIT * capacity), shares))
     return pools_
 
 
-def _places(
+def _engine_capacity(
     model_name: str, upstreams_by_id: Mapping[str, upstream_model.Upstream]
 ) -> int:
     return sum(
--- a/bilberrydrum/samples/commands.py
+++ b/bilberrydrum/samples/commands.py
@@ -1,4 +1,4 @@
-"""Commands on the samples, and their answers. What they do is in `applying`."""
+"""Commands on the samples and their answers. The module `applying` implements them."""
 
 import attrs
 
@@ -26,7 +26,7 @@
 @codec.register("samples.add-groups")
 @attrs.frozen
 class AddGroups:
-    """Ask for groups of samples; answered with `GroupsAdded`."""
+    """Request groups of samples; answered with `GroupsAdded`."""
 
     trainer: str
     groups: tuple[model.GroupRequest, ...]
@@ -36,11 +36,12 @@
 @codec.register("samples.groups-added")
 @attrs.frozen
 class GroupsAdded:
-    """What became of the groups."""
+    """The result of `AddGroups`."""
 
     n_accepted: int = 0
     n_known: int = 0
-    # Ids that are taken by groups with other content; then none was accepted.
+    # Ids of requested groups that exist with other content. If there are any, no group
+    # is accepted.
     conflicts: tuple[str, ...] = ()
     is_full: bool = False
     # Owners of the accepted groups.
@@ -55,42 +56,43 @@
     process_id: str
     incarnation: int
     lease_seconds: float
-    # Revision that the sender has acted on; the work comes only if there is a newer.
+    # Revision of the last work list that the sender has applied. The answer contains
+    # the work list only if the owner's revision differs from it.
     revision: int
 
 
 @codec.register("samples.work")
 @attrs.frozen
 class Work:
-    """What an owner has to do for one group."""
+    """The slots of one group that an owner has to fill."""
 
     trainer: str
     group_id: str
     sequence: int
     owner_epoch: int
-    # Slots that want an attempt, with the attempts that each has had.
+    # Slots without a sample, with the highest attempt number recorded for each.
     n_attempts_by_slot: dict[int, int]
-    # Wanted slots that a batch is waiting for at their position.
+    # Those of these slots that already have a position, so that a batch waits for them.
     assigned_slots: tuple[int, ...] = ()
 
 
 @codec.register("samples.renewed")
 @attrs.frozen
 class Renewed:
-    """The lease is renewed, unless a later life of the process has it."""
+    """The lease is renewed, unless a later incarnation of the process holds it."""
 
     is_current: bool
     revision: int = 0
-    # Log index at which `work` was true.
+    # Log index at which `work` was read.
     index: int = 0
-    # None: nothing has changed.
+    # None if the owner's revision has not changed.
     work: tuple[Work, ...] | None = None
 
 
 @codec.register("samples.leave-owner")
 @attrs.frozen
 class LeaveOwner:
-    """Hand the sender's groups to other owners; answered with `Done`."""
+    """Reassign the sender's groups to other owners; answered with `Done`."""
 
     process_id: str
     incarnation: int
@@ -118,10 +120,10 @@
 @codec.register("samples.record-samples")
 @attrs.frozen
 class RecordSamples:
-    """Take scored attempts as their slots' samples; answered with `Recorded`.
+    """Record scored attempts as the samples of their slots; answered with `Recorded`.
 
-    One command carries many slots: at 2,048 samples a step, one commit each would be
-    the state group's largest load.
+    One command carries many slots: at 2,048 samples per step, a commit for each sample
+    would be the largest load on the state group.
     """
 
     records: tuple[SlotRecord, ...]
@@ -131,7 +133,7 @@
 @codec.register("samples.recorded")
 @attrs.frozen
 class Recorded:
-    """For each record in order: None if it was taken, else why not."""
+    """For each record in order: None if it was accepted, else the refusal."""
 
     refusals: tuple[reasons.Reason | None, ...]
     index: int
@@ -140,7 +142,10 @@
 @codec.register("samples.assign-batch")
 @attrs.frozen
 class AssignBatch:
-    """Acknowledge below `cursor` and fix the batch there; answered with `Batch`."""
+    """Acknowledge the positions below `cursor` and assign the batch there.
+
+    Answered with `Batch`.
+    """
 
     trainer: str
     reader_epoch: int
@@ -171,16 +176,19 @@
     n_assigned: int = 0
     weight_version: int = 0
     samples: tuple[Assigned, ...] = ()
-    # Samples that were too old and are made again.
+    # Samples that were too stale and are generated again.
     n_expired: int = 0
-    # Owners that have new work because of that.
+    # Owners of these samples, which have to start new attempts.
     owners: tuple[str, ...] = ()
 
 
 @codec.register("samples.expire-samples")
 @attrs.frozen
 class ExpireSamples:
-    """Have samples that wait and are too old made again; answered with `Expired`."""
+    """Discard samples that have no position and are too stale.
+
+    Answered with `Expired`.
+    """
 
     trainer: str
     rule: model.Rule
@@ -189,7 +197,7 @@
 @codec.register("samples.expired")
 @attrs.frozen
 class Expired:
-    """How many samples are made again, and by which owners."""
+    """The number of discarded samples, and the owners that generate them again."""
 
     n_expired: int
     owners: tuple[str, ...]
@@ -198,7 +206,7 @@
 @codec.register("samples.report-lost")
 @attrs.frozen
 class ReportLost:
-    """Have samples whose payload no holder has made again; answered with `Expired`."""
+    """Discard samples whose payload no holder has; answered with `Expired`."""
 
     trainer: str
     lost: tuple[Assigned, ...]
--- a/bilberrydrum/samples/delivery.py
+++ b/bilberrydrum/samples/delivery.py
@@ -1,10 +1,11 @@
-"""A trainer's batch: assigned in the state group, fetched from its holders, checked.
-
-A sample counts as delivered at the last check, `CheckBatch`, that found the batch fit
-after its payloads were at hand. A version that is published later is newer than the
-delivery; the batch says which version it was checked against. The check is repeated if
-the process was held up after it, so that a frozen gateway does not wake up and hand
-out what has become too old meanwhile.
+"""Delivery of batches: assign in the state group, fetch from the holders, check.
+
+A sample counts as delivered at the time of the last `CheckBatch` query, which is sent
+after all payloads were fetched and finds the batch within the bound. A version that is
+published later is newer than the delivery; the batch carries the version it was checked
+against. If too much time passes after the check, it is repeated. Otherwise a gateway
+whose process was suspended could deliver samples that have become too stale in the
+meantime.
 """
 
 from typing import Any, Final
@@ -16,24 +17,24 @@
 from bilberrydrum.samples import commands, model, owner, payloads, queries, recorder
 from bilberrydrum.state import client
 
-# Longest time between sending the last check and handing out the batch.
+# Longest time between sending the last check and returning the batch.
 MAX_CHECK_AGE_SECONDS: Final = 0.5
 _POLL_SECONDS: Final = 0.02
 _MAX_POLL_SECONDS: Final = 0.1
-# When a trainer that was refused for want of samples should ask again.
+# Seconds after which a trainer should retry if there were not enough samples.
 _RETRY_AFTER_SECONDS: Final = 1.0
 _STATE_TIMEOUT_SECONDS: Final = 5.0
 
 
 @attrs.frozen
 class BatchRequest:
-    """What a trainer asks for."""
+    """A trainer's request for a batch."""
 
     trainer: str
     reader_epoch: int
     cursor: int
     n_samples: int
-    # Time it will wait, in seconds.
+    # Time in seconds that the trainer waits.
     wait_seconds: float
 
 
@@ -49,7 +50,7 @@
 
 
 class BatchReader:
-    """Answers trainers' batch requests; any gateway may be asked."""
+    """Answers trainers' batch requests, which may be sent to any gateway."""
 
     def __init__(
         self,
@@ -64,7 +65,7 @@
         self._owner = owner_task
 
     def read(self, request: BatchRequest) -> Answer:
-        """Return the batch, or the refusal, within the time the trainer will wait."""
+        """Return the batch, or the refusal, within the time that the trainer waits."""
         began = clock.now()
         answer = self._read_until(request, began + request.wait_seconds)
         idle = clock.now() - began
@@ -129,7 +130,7 @@
     def _complete(
         self, request: BatchRequest, batch: commands.Batch
     ) -> Delivery | None:
-        """Fetch the payloads and check the batch a last time; None: try again."""
+        """Fetch the payloads and check the batch; return None if it must be retried."""
         keys = [_payload_key(request.trainer, each) for each in batch.samples]
         found = self._store.fetch(
             [
@@ -162,8 +163,8 @@
         if answer.is_err():
             return False
         check: queries.BatchCheck = answer.unwrap()
-        # Another gateway may have had a sample of the batch made again since it was
-        # assigned, or a version may have been published while payloads were fetched.
+        # Since the batch was assigned, another gateway may have had one of its samples
+        # replaced, or a version may have been published while payloads were fetched.
         return (
             check.refusal is None
             and check.weight_version == batch.weight_version
@@ -191,7 +192,7 @@
             self._owner.wake_owners(answer.unwrap().owners)
 
     def _wait(self, request: BatchRequest, deadline: float) -> problems.Problem | None:
-        """Wait until it is worth asking again; return the refusal when time is up."""
+        """Wait until a batch may be available; return the refusal when time is up."""
         delay = _POLL_SECONDS
         while True:
             if clock.now() + delay > deadline:
--- a/bilberrydrum/samples/model.py
+++ b/bilberrydrum/samples/model.py
@@ -1,8 +1,8 @@
-"""What the parts of the sample service pass to one another and keep in the state.
+"""Data structures of the sample service, for its messages and the replicated state.
 
-A group is one prompt with some slots. Each slot asks for one sample. An attempt is one
-try to make a slot's sample; the record of the attempt that was taken is kept in the
-replicated state, its text and tokens (the payload) at the gateways that hold them.
+A group is one prompt with several slots. Each slot asks for one sample. An attempt is
+one try to generate a slot's sample. The record of the accepted attempt is kept in the
+replicated state; its text and tokens (the payload) are kept in memory at gateways.
 """
 
 import hashlib
@@ -12,14 +12,14 @@
 
 from bilberrydrum import codec
 
-# Position of a slot that is not yet assigned to one.
+# Position of a slot that has not been given one yet.
 UNASSIGNED = -1
 
 
 @codec.register("samples.segment")
 @attrs.frozen
 class Segment:
-    """A run of tokens that one weight version made; both ends belong to it."""
+    """A range of tokens that one weight version generated, both ends included."""
 
     weight_version: int
     first_token: int
@@ -29,7 +29,7 @@
 @codec.register("samples.group-request")
 @attrs.frozen
 class GroupRequest:
-    """A group as the trainer asked for it."""
+    """A group as the trainer requested it."""
 
     group_id: str
     prompt: str
@@ -37,7 +37,7 @@
     max_tokens: int
 
     def digest(self) -> bytes:
-        """Return a digest of the content, to tell a repeat from a conflict."""
+        """Return a digest of the content, to distinguish repeats from conflicts."""
         text = f"{self.n_slots} {self.max_tokens} {self.prompt}"
         return hashlib.sha256(text.encode()).digest()[:16]
 
@@ -45,7 +45,7 @@
 @codec.register("samples.slot-ref")
 @attrs.frozen
 class SlotRef:
-    """Names a slot of one trainer."""
+    """Identifies a slot of one trainer."""
 
     group_id: str
     slot: int
@@ -54,29 +54,32 @@
 @codec.register("samples.record")
 @attrs.frozen
 class Record:
-    """What is known of the attempt that was taken for a slot."""
+    """The attempt that was accepted as a slot's sample."""
 
     attempt: int
-    # Epoch of the owner that made the attempt.
+    # Epoch of the owner that ran the attempt.
     owner_epoch: int
     upstream_id: str
     segments: tuple[Segment, ...]
     score: float
     n_tokens: int
-    # Digest of the payload, so that a holder's copy is known to be the right one.
+    # Digest of the payload, by which a holder's copy is verified.
     payload_digest: bytes
-    # Lives of gateways (see `holder_name`) that hold the payload.
+    # Incarnations of gateways (see `holder_name`) that hold the payload.
     holders: tuple[str, ...]
 
     def oldest_version(self) -> int:
-        """Return the oldest weight version that made a part of the sample."""
+        """Return the oldest weight version that generated a part of the sample."""
         return min(segment.weight_version for segment in self.segments)
 
 
 @codec.register("samples.rule")
 @attrs.frozen
 class Rule:
-    """The part of a trainer's rule that the state group checks, and its bundle."""
+    """The staleness bound of a trainer's rule, and the version of its bundle.
+
+    The state group enforces the bound.
+    """
 
     bundle_version: int
     staleness_bound: int
@@ -91,12 +94,12 @@
     token_ids: tuple[int, ...]
 
     def digest(self) -> bytes:
-        """Return the digest that the attempt's record carries."""
+        """Return the digest that is stored in the attempt's record."""
         return hashlib.sha256(codec.encode(self)).digest()[:16]
 
 
 def fingerprint(records: Iterable[Record]) -> bytes:
-    """Return a digest that tells whether a batch holds the same attempts as before."""
+    """Return a digest that is equal for batches of the same attempts."""
     names = [f"{each.owner_epoch}.{each.attempt}" for each in records]
     return hashlib.sha256(" ".join(names).encode()).digest()[:16]
 
@@ -107,16 +110,19 @@
 
 
 def payload_key(sample: str, owner_epoch: int, attempt: int) -> str:
-    """Return the name of one attempt's payload, unique for all attempts ever made.
+    """Return the key of one attempt's payload, unique among all attempts.
 
-    Attempts of a lost owner were numbered without the new owner's knowledge, so the
-    number alone would not do.
+    The key contains the owner's epoch. A new owner does not know which attempt numbers
+    a lost owner used, so the number alone would not be unique.
     """
     return f"{sample}#{owner_epoch}.{attempt}"
 
 
 def holder_name(process_id: str, incarnation: int) -> str:
-    """Return the name of one life of a gateway; payloads don't outlive it."""
+    """Return the name of one incarnation of a gateway.
+
+    Payloads are kept in memory, so they are lost when the incarnation ends.
+    """
     return f"{process_id}@{incarnation}"
 
 
--- a/bilberrydrum/samples/owner.py
+++ b/bilberrydrum/samples/owner.py
@@ -1,9 +1,9 @@
-"""The task that drives the groups this gateway owns.
+"""The task that runs the attempts for the groups that this gateway owns.
 
-It renews the owner's lease, takes the list of wanted slots, and starts and stops the
-attempts that the schedule names. The lease is counted from when its renewal was sent;
-without it nothing is started. What is recorded is checked against the owner's epoch in
-the state group.
+It renews the owner's lease, receives the list of wanted slots, and starts and stops
+attempts according to the schedule. The lease is counted from the time when its renewal
+was sent. Without a lease no attempt is started. The state group checks each record
+against the epoch of the group's owner.
 """
 
 from typing import Final
@@ -27,17 +27,20 @@
 )
 from bilberrydrum.state import client
 
-# Longest time between two looks at the schedule while it holds slots: pauses after
-# failures end, and attempts turn out to be slow, without any news.
-_TICK_SECONDS: Final = 0.1
-# The same while it holds none.
-_IDLE_TICK_SECONDS: Final = 0.5
-# Time for news to gather before a look: a look goes through all slots.
-_GATHER_SECONDS: Final = 0.01
+# Longest time between two scheduling passes while there are wanted slots. The end of a
+# backoff, or an attempt that turns out to be slow, does not request a pass.
+_PASS_INTERVAL_SECONDS: Final = 0.1
+# The same while there are no wanted slots.
+_IDLE_PASS_INTERVAL_SECONDS: Final = 0.5
+# Delay between the request for a pass and the pass, so that one pass serves many
+# requests. A pass goes through all slots.
+_COALESCE_SECONDS: Final = 0.01
 _RENEWALS_PER_LEASE: Final = 4
-# Leases without renewal after which attempts are stopped.
-_ABANDON_LEASES: Final = 5
-# Reasons that are the slot's fate rather than an attempt's failure: no waiting.
+# Attempts are stopped when the lease expired this number of lease durations ago.
+_STOP_AFTER_LEASES: Final = 5
+# Refusals that mean that the group has another owner or the slot another sample. The
+# attempt counts as dropped, not as retried, and the lease is renewed at once to get the
+# current work list.
 _SUPERSEDED: Final = (
     reasons.Reason.EPOCH_STALE,
     reasons.Reason.ATTEMPT_SUPERSEDED,
@@ -47,11 +50,11 @@
 @codec.register("samples.wake-owner")
 @attrs.frozen
 class WakeOwner:
-    """The receiver has new work; a hint, the work list is in the state group."""
+    """Notifies an owner of new work, as a hint; the work list is in the state group."""
 
 
 class OwnerTask:
-    """Drives the groups of this gateway."""
+    """Runs the attempts for the groups of this gateway."""
 
     def __init__(
         self,
@@ -78,26 +81,29 @@
         self._attempts_by_start: dict[
             tuple[scheduling.Key, int], eventlet.greenthread.GreenThread
         ] = {}
-        self._trails_by_start: dict[tuple[scheduling.Key, int], provenance.Trail] = {}
+        self._outputs_by_start: dict[
+            tuple[scheduling.Key, int], provenance.PartialOutput
+        ] = {}
         self._tasks: list[eventlet.greenthread.GreenThread] = []
         self._wake = eventlet.event.Event()
-        self._news = eventlet.event.Event()
+        self._pass_requested = eventlet.event.Event()
 
     def start(self) -> None:
-        """Start renewing and driving."""
+        """Start renewing the lease and scheduling attempts."""
         self._bus.on(WakeOwner, lambda sender, message: self.wake())
         self._recorder.start()
         self._tasks.append(eventlet.spawn(self._renew_forever))
-        self._tasks.append(eventlet.spawn(self._drive_forever))
+        self._tasks.append(eventlet.spawn(self._schedule_forever))
 
     def stop(self) -> None:
-        """Hand the groups to other gateways; may be asked for once more."""
+        """Stop all attempts and release the groups; may be called again."""
         for task in self._tasks:
             task.kill()
         self._tasks.clear()
         self._schedule.drop_all()
-        # Not what the schedule had: whoever emptied it before, this stop or the task of
-        # a renewal, may have been broken off, and the rest would run on.
+        # All running attempts are stopped, and not only those in the schedule. If an
+        # earlier `stop` or renewal was interrupted after it emptied the schedule, its
+        # remaining attempts would otherwise continue to run.
         self._stop_attempts(
             [scheduling.Cancel(*start) for start in self._attempts_by_start]
         )
@@ -107,12 +113,12 @@
             self._state.submit(leave, timeout=1.0)
 
     def wake(self) -> None:
-        """Look for new work now."""
+        """Renew the lease now, which returns new work."""
         if not self._wake.ready():
             self._wake.send(None)
 
     def wake_owners(self, process_ids: tuple[str, ...]) -> None:
-        """Let other owners, or this one, look for new work now."""
+        """Notify these owners, which may include this one, of new work."""
         gateways = self._bundles.gateways_by_id()
         for process_id in process_ids:
             if process_id == self._bus.process_id:
@@ -129,7 +135,8 @@
             try:
                 self._renew()
             except Exception:
-                # Without renewals all groups of this gateway would go to others.
+                # If this task ended, the lease would expire and all groups of this
+                # gateway would be reassigned.
                 eliot.write_traceback()
 
     def _renew(self) -> None:
@@ -149,14 +156,14 @@
             return
         margin = 1 - self._options.state.drift_margin
         self._leased_until = sent_at + lease * margin
-        if renewed.work is None or not self._learn_requests(renewed.work):
+        if renewed.work is None or not self._fetch_requests(renewed.work):
             return
         self._revision = renewed.revision
         self._stop_attempts(self._schedule.update(renewed.index, renewed.work))
-        self._tell()
+        self._request_pass()
 
-    def _learn_requests(self, work: tuple[commands.Work, ...]) -> bool:
-        """Fetch the groups' content that is not known yet."""
+    def _fetch_requests(self, work: tuple[commands.Work, ...]) -> bool:
+        """Fetch the content of unknown groups; return False if a query failed."""
         listed = {(each.trainer, each.group_id) for each in work}
         known = self._requests_by_group
         self._requests_by_group = {
@@ -173,31 +180,32 @@
                 self._requests_by_group[(trainer, request.group_id)] = request
         return True
 
-    def _drive_forever(self) -> None:
+    def _schedule_forever(self) -> None:
         while True:
             is_idle = not self._schedule.wanted_by_key
-            tick = _IDLE_TICK_SECONDS if is_idle else _TICK_SECONDS
+            tick = _IDLE_PASS_INTERVAL_SECONDS if is_idle else _PASS_INTERVAL_SECONDS
             with eventlet.Timeout(tick, False):
-                self._news.wait()
-                clock.sleep(_GATHER_SECONDS)
-            self._news = eventlet.event.Event()
+                self._pass_requested.wait()
+                clock.sleep(_COALESCE_SECONDS)
+            self._pass_requested = eventlet.event.Event()
             try:
-                self._drive()
+                self._run_pass()
             except Exception:
-                # One bad record must not stop all groups of this gateway.
+                # A single faulty record must not stop the attempts for all groups of
+                # this gateway.
                 eliot.write_traceback()
 
-    def _drive(self) -> None:
+    def _run_pass(self) -> None:
         now = clock.now()
         current = self._bundles.current()
         if now >= self._leased_until:
             self._revision = 0
-            self._abandon(now)
+            self._stop_after_lease_expiry(now)
             return
         if current.is_err():
             return
         bundle = current.unwrap()
-        stalled = self._schedule.stalled(now)
+        stalled = self._schedule.cancel_stalled(now)
         self._stop_attempts(stalled)
         for _ in stalled:
             counters.retried(reasons.Reason.UPSTREAM_TIMEOUT)
@@ -212,48 +220,50 @@
             )
             rule = bundle.trainers.get(start.key.trainer)
             if request is None or rule is None:
-                self._schedule.failed(now, start.key, start.attempt)
+                self._schedule.record_failure(now, start.key, start.attempt)
                 continue
-            is_urgent = start.goes_on_from > 0 or self._schedule.is_assigned(start.key)
+            is_urgent = start.resumes_attempt > 0 or self._schedule.is_assigned(
+                start.key
+            )
             task = attempts.Task(start, request, rule, is_urgent)
-            thread = eventlet.spawn(self._attempt, task)
+            thread = eventlet.spawn(self._attempt_task, task)
             self._attempts_by_start[(start.key, start.attempt)] = thread
 
-    def _tell(self) -> None:
-        """Have the schedule looked at: an attempt ended, or slots are wanted."""
-        if not self._news.ready():
-            self._news.send(None)
+    def _request_pass(self) -> None:
+        """Request a scheduling pass, because an attempt ended or slots are wanted."""
+        if not self._pass_requested.ready():
+            self._pass_requested.send(None)
 
-    def _abandon(self, now: float) -> None:
-        """Stop all attempts once the lease has been over for long.
+    def _stop_after_lease_expiry(self, now: float) -> None:
+        """Stop all attempts if the lease expired `_STOP_AFTER_LEASES` leases ago.
 
-        Nothing new is started without the lease, as another gateway may be driving the
-        groups by now. What runs goes on for a while: if it was the state group that
-        could not be reached, the groups are still this owner's, and stopping would
-        throw away the work of all engines. If they are not, the state group refuses
-        what is made here.
+        No attempt is started without the lease, because another gateway may own the
+        groups. Running attempts continue for a while: if the state group was
+        unavailable, the groups still belong to this owner, and stopping would waste the
+        work of all engines. If the groups were reassigned, the state group refuses the
+        records of these attempts.
         """
         lease = self._options.samples.owner_lease_seconds
-        if now >= self._leased_until + _ABANDON_LEASES * lease:
+        if now >= self._leased_until + _STOP_AFTER_LEASES * lease:
             self._stop_attempts(self._schedule.drop_all())
 
     def _stop_attempts(self, cancels: list[scheduling.Cancel]) -> None:
         for cancel in cancels:
-            self._trails_by_start.pop((cancel.key, cancel.attempt), None)
+            self._outputs_by_start.pop((cancel.key, cancel.attempt), None)
             thread = self._attempts_by_start.pop((cancel.key, cancel.attempt), None)
             if thread is not None:
                 thread.kill()
 
-    def _attempt(self, task: attempts.Task) -> None:
+    def _attempt_task(self, task: attempts.Task) -> None:
         start = task.start
         try:
-            reason = self._make(task)
+            reason = self._run_attempt(task)
         except Exception:
             eliot.write_traceback()
             reason = reasons.Reason.INTERNAL_ERROR
         self._attempts_by_start.pop((start.key, start.attempt), None)
-        self._trails_by_start.pop((start.key, start.attempt), None)
-        self._tell()
+        self._outputs_by_start.pop((start.key, start.attempt), None)
+        self._request_pass()
         if reason is None:
             return
         if reason in _SUPERSEDED:
@@ -261,56 +271,59 @@
             self.wake()
         else:
             counters.retried(reason)
-        self._schedule.failed(clock.now(), start.key, start.attempt)
+        self._schedule.record_failure(clock.now(), start.key, start.attempt)
 
-    def _make(self, task: attempts.Task) -> reasons.Reason | None:
-        """Make, keep and record one attempt; return why it came to nothing."""
+    def _run_attempt(self, task: attempts.Task) -> reasons.Reason | None:
+        """Run one attempt, store its payload and record it; return why it failed."""
         key, number = task.start.key, task.start.attempt
         attempt = attempts.Attempt(
             task,
             self._bundles,
             self._registry,
             self._dispatcher,
-            lambda upstream_id, n_tokens: self._schedule.progress(
+            lambda upstream_id, n_tokens: self._schedule.record_progress(
                 clock.now(), key, number, upstream_id, n_tokens
             ),
-            lambda: self._generated(key, number),
+            lambda: self._on_generated(key, number),
         )
-        earlier = self._trails_by_start.get((key, task.start.goes_on_from))
+        earlier = self._outputs_by_start.get((key, task.start.resumes_attempt))
         if earlier is not None:
-            attempt.trail = earlier.copy()
-        self._trails_by_start[(key, number)] = attempt.trail
-        made = attempt.run()
-        if made.is_err():
-            return made.unwrap_err()
-        if not attempt.is_fit():
+            attempt.output = earlier.copy()
+        self._outputs_by_start[(key, number)] = attempt.output
+        scored = attempt.run()
+        if scored.is_err():
+            return scored.unwrap_err()
+        if not attempt.is_within_bound():
             return reasons.Reason.SAMPLE_STALE
-        outcome = self._record(task, made.unwrap())
+        outcome = self._record(task, scored.unwrap())
         if outcome.refusal is not None:
             self._store.drop(task.name)
             return outcome.refusal
-        # This task has ended its work; it must not be among those to be stopped.
+        # This attempt is finished. Its own task must not be among those to be stopped.
         self._attempts_by_start.pop((key, number), None)
-        self._stop_attempts(self._schedule.recorded(outcome.index, key, number))
+        self._stop_attempts(self._schedule.mark_recorded(outcome.index, key, number))
         return None
 
-    def _generated(self, key: scheduling.Key, attempt: int) -> None:
-        self._schedule.generated(key, attempt)
-        self._tell()
+    def _on_generated(self, key: scheduling.Key, attempt: int) -> None:
+        self._schedule.mark_generated(key, attempt)
+        self._request_pass()
 
-    def _record(self, task: attempts.Task, made: attempts.Made) -> recorder.Outcome:
+    def _record(
+        self, task: attempts.Task, scored: attempts.ScoredAttempt
+    ) -> recorder.Outcome:
         key = task.start.key
-        # The payload is kept before its record is committed: a record without a
-        # payload would be assigned and then made again.
-        holders = self._store.put(task.name, made.payload)
+        # The payload is stored before its record is committed. Otherwise a record
+        # without a payload could be assigned, and its sample would have to be generated
+        # again.
+        holders = self._store.put(task.name, scored.payload)
         record = model.Record(
             attempt=task.start.attempt,
             owner_epoch=key.owner_epoch,
-            upstream_id=made.upstream_id,
-            segments=made.segments,
-            score=made.score,
-            n_tokens=len(made.payload.token_ids),
-            payload_digest=made.payload.digest(),
+            upstream_id=scored.upstream_id,
+            segments=scored.segments,
+            score=scored.score,
+            n_tokens=len(scored.payload.token_ids),
+            payload_digest=scored.payload.digest(),
             holders=holders,
         )
         return self._recorder.record(
--- a/bilberrydrum/samples/payloads.py
+++ b/bilberrydrum/samples/payloads.py
@@ -1,8 +1,8 @@
-"""Texts and tokens of samples, kept at gateways until the trainer's cursor has moved.
+"""Texts and tokens of samples, kept at gateways until the trainer acknowledges them.
 
-A payload is kept where it was made, with one copy at a gateway of another availability
-zone. It lives in memory only and ends with its process; the record in the state group
-says which lives of which gateways hold it.
+A payload is kept at the gateway that generated it, with one copy at a gateway of
+another availability zone. It is kept in memory only and is lost when the process ends.
+The record in the state group lists the incarnations of the gateways that hold it.
 """
 
 import zlib
@@ -17,16 +17,16 @@
 
 COPY_TIMEOUT_SECONDS: Final = 1.0
 FETCH_TIMEOUT_SECONDS: Final = 1.0
-# Payloads asked for in one message.
+# Number of payloads requested with one message.
 FETCH_CHUNK: Final = 128
-# Gateways tried for the copy before a payload stays with one holder.
+# Number of gateways tried for the copy. If none accepts it, the payload has one holder.
 _COPY_TRIES: Final = 2
 
 
 @codec.register("samples.store-payload")
 @attrs.frozen
 class StorePayload:
-    """Keep a copy; answered with `PayloadStored`."""
+    """Store a copy; answered with `PayloadStored`."""
 
     key: str
     payload: model.Payload
@@ -35,7 +35,7 @@
 @codec.register("samples.payload-stored")
 @attrs.frozen
 class PayloadStored:
-    """The copy is kept by this life of the gateway."""
+    """The copy is stored by this incarnation of the gateway."""
 
     holder: str
 
@@ -43,7 +43,7 @@
 @codec.register("samples.fetch-payloads")
 @attrs.frozen
 class FetchPayloads:
-    """Ask for payloads; answered with `Payloads`."""
+    """Request payloads; answered with `Payloads`."""
 
     keys: tuple[str, ...]
 
@@ -51,14 +51,14 @@
 @codec.register("samples.payloads")
 @attrs.frozen
 class Payloads:
-    """The payloads in the order asked for; None: not held here."""
+    """The payloads in the requested order; None for those that are not held here."""
 
     payloads: tuple[model.Payload | None, ...]
 
 
 @attrs.frozen
 class Wanted:
-    """A payload to be found."""
+    """A payload to fetch."""
 
     key: str
     digest: bytes
@@ -66,7 +66,7 @@
 
 
 class PayloadStore:
-    """The payloads of this process, and the way to those of the others."""
+    """Stores the payloads of this process and fetches those of other gateways."""
 
     def __init__(
         self, bus: transport.Transport, bundles: interfaces.BundleView, zone: str
@@ -78,17 +78,17 @@
         self._stored_at_by_key: dict[str, float] = {}
 
     def start(self) -> None:
-        """Answer the other gateways."""
-        self._bus.on(StorePayload, self._take_store)
-        self._bus.on(FetchPayloads, self._take_fetch)
+        """Start answering other gateways."""
+        self._bus.on(StorePayload, self._handle_store)
+        self._bus.on(FetchPayloads, self._handle_fetch)
 
     @property
     def holder(self) -> str:
-        """The name of this life of this gateway."""
+        """The holder name of this incarnation of the gateway."""
         return model.holder_name(self._bus.process_id, self._bus.incarnation)
 
     def put(self, key: str, payload: model.Payload) -> tuple[str, ...]:
-        """Keep a payload and have it copied; return its holders."""
+        """Store a payload, copy it to another gateway, and return its holders."""
         self._keep(key, payload)
         holders = [self.holder]
         for gateway in self._copy_candidates(key)[:_COPY_TRIES]:
@@ -106,9 +106,11 @@
             for each in self._bundles.gateways_by_id().values()
             if each.process_id != self._bus.process_id
         ]
-        elsewhere = [each for each in others if each.availability_zone != self._zone]
-        # The key spreads the copies over the gateways.
-        candidates = sorted(elsewhere or others, key=lambda each: each.process_id)
+        in_other_zones = [
+            each for each in others if each.availability_zone != self._zone
+        ]
+        # The hash of the key spreads the copies over the gateways.
+        candidates = sorted(in_other_zones or others, key=lambda each: each.process_id)
         first = zlib.crc32(key.encode()) % len(candidates) if candidates else 0
         return candidates[first:] + candidates[:first]
 
@@ -122,17 +124,17 @@
         return [key for key, at in self._stored_at_by_key.items() if at <= limit]
 
     def drop(self, key: str) -> None:
-        """Forget a payload."""
+        """Remove a payload."""
         self._payloads_by_key.pop(key, None)
         self._stored_at_by_key.pop(key, None)
 
     def fetch(self, wanted: list[Wanted]) -> dict[str, model.Payload]:
-        """Return the payloads that could be had, by key."""
+        """Return the payloads that were found, by key."""
         found: dict[str, model.Payload] = {}
         for each in wanted:
             self._accept(found, each, self._payloads_by_key.get(each.key))
-        # Each payload has at most two holders; the second is asked for what the first
-        # did not have.
+        # Each payload has at most two holders. The second one is asked for the payloads
+        # that the first one did not have.
         for i_holder in range(2):
             missing = [each for each in wanted if each.key not in found]
             self._fetch_from_holders(found, missing, i_holder)
@@ -144,7 +146,7 @@
         wanted: Wanted,
         payload: model.Payload | None,
     ) -> None:
-        # A payload that is not the recorded one would be delivered with segments and a
+        # A payload other than the recorded one would be delivered with segments and a
         # score that belong to another text.
         if payload is not None and payload.digest() == wanted.digest:
             found[wanted.key] = payload
@@ -159,8 +161,8 @@
             if address:
                 by_address.setdefault(address, []).append(each)
         pool = eventlet.GreenPool()
-        for address, asked in by_address.items():
-            pool.spawn(self._fetch_from, found, address, asked)
+        for address, requested in by_address.items():
+            pool.spawn(self._fetch_from, found, address, requested)
         pool.waitall()
 
     def _address(
@@ -175,10 +177,10 @@
         return gateway.peer_address
 
     def _fetch_from(
-        self, found: dict[str, model.Payload], address: str, asked: list[Wanted]
+        self, found: dict[str, model.Payload], address: str, requested: list[Wanted]
     ) -> None:
-        for first in range(0, len(asked), FETCH_CHUNK):
-            chunk = asked[first : first + FETCH_CHUNK]
+        for first in range(0, len(requested), FETCH_CHUNK):
+            chunk = requested[first : first + FETCH_CHUNK]
             message = FetchPayloads(tuple(each.key for each in chunk))
             answer = self._bus.call(address, message, FETCH_TIMEOUT_SECONDS)
             if answer.is_err():
@@ -186,10 +188,10 @@
             for each, payload in zip(chunk, answer.unwrap().payloads, strict=True):
                 self._accept(found, each, payload)
 
-    def _take_store(self, sender: transport.Sender, message: StorePayload) -> None:
+    def _handle_store(self, sender: transport.Sender, message: StorePayload) -> None:
         self._keep(message.key, message.payload)
         self._bus.answer(sender, PayloadStored(self.holder))
 
-    def _take_fetch(self, sender: transport.Sender, message: FetchPayloads) -> None:
+    def _handle_fetch(self, sender: transport.Sender, message: FetchPayloads) -> None:
         payloads = tuple(self._payloads_by_key.get(key) for key in message.keys)
         self._bus.answer(sender, Payloads(payloads))
--- a/bilberrydrum/samples/provenance.py
+++ b/bilberrydrum/samples/provenance.py
@@ -1,8 +1,8 @@
-"""Which weight versions made which tokens, from what the engine's stream reports.
+"""Which weight versions generated which tokens, as the engine's stream reports it.
 
-`Trail` takes the events of one attempt's streams in order. Nothing is guessed: an event
-with tokens and without a version ends the attempt's chance to become a sample, and so
-does text without tokens.
+`PartialOutput` collects the events of an attempt's streams in order. Missing data is
+not guessed: after an event with tokens but no version, or with text but no tokens, the
+attempt can't become a sample.
 """
 
 import attrs
@@ -14,21 +14,21 @@
 
 
 @attrs.define
-class Trail:
+class PartialOutput:
     """The segments, tokens and text of one attempt so far."""
 
     segments: list[model.Segment] = attrs.field(factory=list)
     token_ids: list[int] = attrs.field(factory=list)
     texts: list[str] = attrs.field(factory=list)
-    # What is wrong with the attempt; empty: nothing.
+    # Why the attempt can't be traced; empty if it can.
     fault: str = ""
 
     def add(self, tokens: request_model.Tokens) -> None:
-        """Take one event of the stream."""
+        """Append one event of the stream."""
         n_tokens = len(tokens.token_ids)
         if n_tokens == 0:
-            # Tokens that were left out can't be placed later: the segments behind
-            # them would name the wrong tokens.
+            # If the engine has left out tokens, the segments after them would refer to
+            # the wrong tokens.
             if tokens.text:
                 self.fault = "text without tokens"
             return
@@ -46,9 +46,9 @@
             first = self.segments.pop().first_token
         self.segments.append(model.Segment(weight_version, first, last))
 
-    def copy(self) -> "Trail":
-        """Return a trail that goes on from here by itself."""
-        return Trail(
+    def copy(self) -> "PartialOutput":
+        """Return an independent copy."""
+        return PartialOutput(
             list(self.segments), list(self.token_ids), list(self.texts), self.fault
         )
 
@@ -59,20 +59,20 @@
     def finish(
         self, finished: request_model.Finished, max_tokens: int
     ) -> result.Result[tuple[model.Segment, ...], reasons.Reason]:
-        """Return the segments of the ended attempt, or why it is no sample."""
+        """Return the segments of the finished attempt, or why it can't be a sample."""
         n_tokens = len(self.token_ids)
         is_at_limit = finished.finish_reason == request_model.FINISH_LENGTH
-        # An engine that stopped at the length and one token count that differs from it
-        # means that tokens were lost or came twice on the way.
+        # If the engine stopped at the maximum length and the token count differs from
+        # it, tokens were lost or duplicated on the way.
         if n_tokens > max_tokens or (is_at_limit and n_tokens != max_tokens):
-            self.fault = "token count differs from the length asked for"
+            self.fault = "token count differs from the requested length"
         if self.fault or not covers(self.segments, n_tokens):
             return result.Err(reasons.Reason.SAMPLE_UNTRACEABLE)
         return result.Ok(tuple(self.segments))
 
 
 def covers(segments: list[model.Segment] | tuple[model.Segment, ...], n: int) -> bool:
-    """Tell whether `segments` name `n` tokens, each once and in order."""
+    """Return whether `segments` cover `n` tokens, each once and in order."""
     expected = 0
     for segment in segments:
         if segment.first_token != expected or segment.last_token < segment.first_token:
--- a/bilberrydrum/samples/queries.py
+++ b/bilberrydrum/samples/queries.py
@@ -1,4 +1,4 @@
-"""Questions about the samples to the replicated state."""
+"""Queries of the samples in the replicated state."""
 
 import attrs
 
@@ -16,7 +16,7 @@
 @codec.register("samples.get-requests")
 @attrs.frozen
 class GetRequests:
-    """Ask for the content of groups; answered with `Requests`."""
+    """Request the content of groups; answered with `Requests`."""
 
     trainer: str
     group_ids: tuple[str, ...]
@@ -25,7 +25,7 @@
 @codec.register("samples.requests")
 @attrs.frozen
 class Requests:
-    """The groups that are still open."""
+    """The requests of those groups that are still open."""
 
     requests: tuple[model.GroupRequest, ...]
 
@@ -33,7 +33,7 @@
 @codec.register("samples.check-batch")
 @attrs.frozen
 class CheckBatch:
-    """Ask whether `AssignBatch` would find a batch; answered with `BatchCheck`."""
+    """Ask whether `AssignBatch` would return a batch; answered with `BatchCheck`."""
 
     trainer: str
     reader_epoch: int
@@ -45,26 +45,27 @@
 @codec.register("samples.batch-check")
 @attrs.frozen
 class BatchCheck:
-    """Whether a batch can be had at the cursor, and what is known."""
+    """Whether a batch is available at the cursor."""
 
-    # None: it can. `SAMPLE_STALE`: `AssignBatch` would have samples made again.
+    # None if a batch is available. `SAMPLE_STALE` if `AssignBatch` would discard
+    # samples and have them generated again.
     refusal: reasons.Reason | None
     weight_version: int = 0
-    # Fingerprint of the batch that is assigned at the cursor; empty: none is.
+    # Fingerprint of the batch that is assigned at the cursor; empty if there is none.
     fingerprint: bytes = b""
 
 
 @codec.register("samples.list-unneeded")
 @attrs.frozen
-class ListUnneeded:
-    """Ask which payloads no slot needs any more; answered with `Unneeded`."""
+class ListUnusedPayloads:
+    """Ask which payloads no slot needs; answered with `UnusedPayloads`."""
 
     keys: tuple[str, ...]
 
 
 @codec.register("samples.unneeded")
 @attrs.frozen
-class Unneeded:
+class UnusedPayloads:
     """The payloads that may be dropped."""
 
     keys: tuple[str, ...]
@@ -73,7 +74,7 @@
 @codec.register("samples.get-trace")
 @attrs.frozen
 class GetTrace:
-    """Ask for what is known of one sample; answered with `Trace`."""
+    """Request the trace of one sample; answered with `Trace`."""
 
     trainer: str
     group_id: str
@@ -83,7 +84,7 @@
 @codec.register("samples.trace")
 @attrs.frozen
 class Trace:
-    """What is known of one sample; `state` is empty when nothing is."""
+    """The state and record of one sample; `state` is empty if it is unknown."""
 
     sample_id: str
     state: str = ""
@@ -97,13 +98,13 @@
 @codec.register("samples.list-trainers")
 @attrs.frozen
 class ListTrainers:
-    """Ask for all trainers; answered with `Trainers`."""
+    """Request the status of all trainers; answered with `Trainers`."""
 
 
 @codec.register("samples.trainer-status")
 @attrs.frozen
 class TrainerStatus:
-    """One trainer for the operators."""
+    """The status of one trainer, for operators."""
 
     trainer: str
     weight_version: int
@@ -117,7 +118,7 @@
 @codec.register("samples.trainers")
 @attrs.frozen
 class Trainers:
-    """All trainers."""
+    """The status of all trainers."""
 
     trainers: tuple[TrainerStatus, ...]
 
@@ -155,15 +156,17 @@
         record = trainer.groups_by_id[ref.group_id].slots[ref.slot].record
         if record is None:
             return BatchCheck(reasons.Reason.BATCH_NOT_READY, newest)
-        if not staleness.is_fit(record, newest, bound):
+        if not staleness.is_within_bound(record, newest, bound):
             return BatchCheck(reasons.Reason.SAMPLE_STALE, newest)
         records.append(record)
     return BatchCheck(None, newest, model.fingerprint(records))
 
 
 @machine.answer.register
-def _(query: ListUnneeded, state: machine.State, now: float) -> Unneeded:
-    return Unneeded(tuple(key for key in query.keys if not _is_needed(state, key)))
+def _(query: ListUnusedPayloads, state: machine.State, now: float) -> UnusedPayloads:
+    return UnusedPayloads(
+        tuple(key for key in query.keys if not _is_needed(state, key))
+    )
 
 
 def _is_needed(state: machine.State, key: str) -> bool:
@@ -212,7 +215,7 @@
 
 
 def slot_state(trainer: section.Trainer, slot: section.Slot) -> str:
-    """Return how far a slot has come."""
+    """Return the state of a slot, which is one of the `STATE_` constants."""
     if 0 <= slot.position < trainer.acknowledged:
         return STATE_ACKNOWLEDGED
     if slot.record is None:
@@ -244,5 +247,5 @@
 
 
 def _find(state: machine.State, name: str) -> section.Trainer:
-    # A query must not change the state, so an unknown trainer isn't added to it.
+    # A query must not change the state, so an unknown trainer is not added to it.
     return section.of(state).trainers_by_name.get(name) or section.Trainer()
--- a/bilberrydrum/samples/recorder.py
+++ b/bilberrydrum/samples/recorder.py
@@ -1,7 +1,8 @@
-"""Commits finished attempts, many with one command.
+"""Commits finished attempts, several with one command.
 
-The task takes whatever has gathered while the last command was on its way, so that
-commands grow with the load and nothing waits for a full one.
+Each command carries all records that were submitted while the previous command was
+being committed. Commands thus grow with the load, and no record waits for a command to
+fill up.
 """
 
 from typing import Final
@@ -15,14 +16,14 @@
 from bilberrydrum.samples import commands, model
 from bilberrydrum.state import client
 
-# Records at most in one command.
+# Maximum number of records in one command.
 MAX_RECORDS: Final = 256
 _RETRY_SECONDS: Final = 0.1
 
 
 @attrs.frozen
 class Outcome:
-    """What became of one record: taken, or refused for a reason."""
+    """The result for one record: accepted, or the reason of the refusal."""
 
     refusal: reasons.Reason | None
     # Log index of the command.
@@ -45,13 +46,13 @@
         self._tasks.append(eventlet.spawn(self._run))
 
     def stop(self) -> None:
-        """Stop; records that wait are lost and their slots get other attempts."""
+        """Stop; pending records are lost and their slots get other attempts."""
         for task in self._tasks:
             task.kill()
         self._tasks.clear()
 
     def record(self, record: commands.SlotRecord) -> Outcome:
-        """Have `record` committed and return what became of it."""
+        """Commit `record` and return the outcome."""
         done = eventlet.event.Event()
         self._waiting.put((record, done))
         outcome: Outcome = done.wait()
@@ -74,14 +75,15 @@
             if answer.is_ok():
                 recorded: commands.Recorded = answer.unwrap()
                 return recorded
-            # It may have been applied; applied again it gives the same outcome.
+            # The command may have been applied. Applying it again does not record
+            # anything twice.
             clock.sleep(_RETRY_SECONDS)
 
 
 def rules_by_trainer(
     bundles: interfaces.BundleView, names: set[str]
 ) -> dict[str, model.Rule]:
-    """Return what the bundle in force here says of the trainers."""
+    """Return the trainers' rules in the bundle that is in force at this process."""
     current = bundles.current()
     if current.is_err():
         return {}
--- a/bilberrydrum/samples/scheduling.py
+++ b/bilberrydrum/samples/scheduling.py
@@ -1,18 +1,19 @@
-"""Which attempts an owner starts and stops, in what order.
-
-Pure: time, capacity and the newest weight versions are passed in. Among trainers, the
-one with the least attempts in flight for its share goes first, so that capacity that
-one leaves unused goes to the others. Within a trainer: slots that a batch waits for,
-then the oldest group, so that the slots of a group follow one another and find its
-prompt's prefix in the engine's cache.
-
-Stragglers: an attempt whose tokens come at less than `SLOW_SHARE` of the usual pace,
-and whose group is older than all that still wait to be started, gets a second one at
-another engine, which goes on from the tokens made so far; the one that is whole first
-counts. Their number is bounded by a budget. Waiting for a free place instead would
-leave it out whenever the trainer has asked for more groups, which is when it waits for
-this one. An attempt whose tokens have stopped coming is stopped and made again,
-whatever the budget: its slot would hold up its trainer.
+"""Which attempts an owner starts and stops, and in what order.
+
+The schedule has no side effects; time and capacity are passed in. Among the trainers,
+the one with the fewest attempts in flight relative to its share goes first, so that
+capacity that one trainer leaves unused goes to the others. Within a trainer, slots that
+a batch waits for go first, then the slots of the oldest group. The slots of a group are
+thus started in succession and find the prefix of its prompt in the engine's cache.
+
+Stragglers: an attempt gets a second one at another engine if it generates tokens at
+less than `SLOW_SHARE` of the usual pace and no older group has slots that wait to be
+started. The second attempt resumes from the tokens generated so far, and the first of
+the two to finish is recorded. The number of second attempts is bounded by a budget. A
+second attempt does not wait for free capacity: there is none while the trainer has
+requested further groups, and that is usually the case when it waits for the slow slot.
+An attempt that has stopped generating tokens is cancelled and started again regardless
+of the budget, because its slot would block the trainer.
 """
 
 from typing import Final
@@ -21,22 +22,23 @@
 
 from bilberrydrum.samples import commands
 
-# Waiting time after the first failed attempt of a slot; doubles with each further one.
+# Backoff in seconds after the first failed attempt of a slot. It doubles with each
+# further failure.
 BACKOFF_SECONDS: Final = 0.05
 MAX_BACKOFF_SECONDS: Final = 2.0
 # Share of the usual pace below which an attempt is slow.
 SLOW_SHARE: Final = 0.6
-# Tokens after which an attempt's pace is known.
+# Number of tokens from which on an attempt's pace is known.
 MIN_TOKENS: Final = 8
-# Time without a token after which an attempt is given up.
+# Time without a token after which an attempt is cancelled.
 STALL_SECONDS: Final = 20.0
-# Share of the newest pace in the usual one.
+# Weight of a new value in the moving average of the pace.
 _SMOOTHING: Final = 0.02
 
 
 @attrs.frozen
 class Key:
-    """A wanted slot under one epoch of its owner."""
+    """A wanted slot and the epoch of its owner."""
 
     trainer: str
     group_id: str
@@ -50,17 +52,17 @@
 
     started_at: float
     upstream_id: str = ""
-    # When its first tokens came; 0: none have.
-    first_at: float = 0.0
+    # Time of the first tokens from the current engine; 0 if there were none.
+    first_token_at: float = 0.0
     progressed_at: float = 0.0
     n_tokens: int = 0
-    # Generated whole; being scored, stored or recorded.
+    # Generation is complete; the attempt is being scored, stored or recorded.
     is_generated: bool = False
 
 
 @attrs.define
 class Wanted:
-    """What is known of a wanted slot."""
+    """The scheduling state of a wanted slot."""
 
     sequence: int
     n_attempts: int
@@ -78,13 +80,13 @@
     attempt: int
     # Engines that the attempt should avoid.
     excluded_upstream_ids: frozenset[str] = frozenset()
-    # Attempt at the same slot whose tokens so far it goes on from; 0: none.
-    goes_on_from: int = 0
+    # Number of the attempt at the same slot whose tokens it resumes from; 0 if none.
+    resumes_attempt: int = 0
 
 
 @attrs.frozen
 class Cancel:
-    """Stop an attempt and drop what it made."""
+    """Stop an attempt and discard its output."""
 
     key: Key
     attempt: int
@@ -102,22 +104,24 @@
 class Schedule:
     """The attempts of one owner."""
 
-    # Second attempts allowed as a share of first ones.
+    # Second attempts allowed, as a share of all attempts started.
     second_attempt_budget: float = 0.0
     wanted_by_key: dict[Key, Wanted] = attrs.field(factory=dict)
     n_started: int = 0
-    n_second: int = 0
-    # Usual tokens per second of an attempt; 0: not known.
+    n_second_attempts: int = 0
+    # Usual tokens per second of an attempt; 0 if not known.
     _usual_pace: float = 0.0
-    # Log index at which a slot got its sample; older work lists don't know of it.
+    # Log index at which a slot's sample was recorded. Work lists that were read earlier
+    # still contain the slot.
     _recorded_at: dict[Key, int] = attrs.field(factory=dict)
-    # Attempts that slots had when everything was given up, until the next list. The
-    # record of one may still be committed: under its number, another attempt's payload
-    # would take the place of the recorded one.
+    # Highest attempt number of each slot when `drop_all` was called, kept until the
+    # next work list. The record of such an attempt may still be committed. If its
+    # number were used again, the payload of the new attempt would replace the recorded
+    # one.
     _n_attempts_by_key: dict[Key, int] = attrs.field(factory=dict)
 
     def update(self, index: int, work: tuple[commands.Work, ...]) -> list[Cancel]:
-        """Take the list of wanted slots that was true at log index `index`."""
+        """Apply the list of wanted slots that was read at log index `index`."""
         listed = {
             Key(each.trainer, each.group_id, slot, each.owner_epoch): (each, slot)
             for each in work
@@ -127,14 +131,16 @@
         for key in [each for each in self.wanted_by_key if each not in listed]:
             cancels += self._drop(key)
         for key, (each, slot) in listed.items():
-            self._want(index, key, each, slot)
+            self._update_wanted(index, key, each, slot)
         self._n_attempts_by_key.clear()
         self._recorded_at = {
             key: at for key, at in self._recorded_at.items() if at > index
         }
         return cancels
 
-    def _want(self, index: int, key: Key, work: commands.Work, slot: int) -> None:
+    def _update_wanted(
+        self, index: int, key: Key, work: commands.Work, slot: int
+    ) -> None:
         # The list may have been read before the slot's sample was recorded.
         if self._recorded_at.get(key, -1) >= index:
             return
@@ -152,7 +158,7 @@
         return [Cancel(key, attempt) for attempt in wanted.running_by_attempt]
 
     def drop_all(self) -> list[Cancel]:
-        """Give up everything: the owner's lease has ended."""
+        """Drop all wanted slots and return the attempts to cancel."""
         for key, wanted in self.wanted_by_key.items():
             self._n_attempts_by_key[key] = wanted.n_attempts
         return [
@@ -216,7 +222,10 @@
             if key.trainer not in pool.shares_by_trainer:
                 continue
             budget = self.second_attempt_budget * self.n_started
-            if self.n_second + 1 > budget or len(wanted.running_by_attempt) != 1:
+            if (
+                self.n_second_attempts + 1 > budget
+                or len(wanted.running_by_attempt) != 1
+            ):
                 continue
             oldest = oldest_by_trainer[key.trainer]
             if oldest is not None and wanted.sequence > oldest:
@@ -224,7 +233,7 @@
             number, running = next(iter(wanted.running_by_attempt.items()))
             if not self._is_slow(now, running):
                 continue
-            self.n_second += 1
+            self.n_second_attempts += 1
             excluded = frozenset({running.upstream_id})
             starts.append(self._start(now, key, excluded, number))
         return starts
@@ -232,21 +241,21 @@
     def _is_slow(self, now: float, running: Running) -> bool:
         if running.is_generated or running.n_tokens < MIN_TOKENS:
             return False
-        pace = running.n_tokens / max(1e-6, now - running.first_at)
+        pace = running.n_tokens / max(1e-6, now - running.first_token_at)
         return pace < SLOW_SHARE * self._usual_pace
 
-    def stalled(self, now: float) -> list[Cancel]:
-        """Return attempts whose tokens stopped coming; they count as failed."""
+    def cancel_stalled(self, now: float) -> list[Cancel]:
+        """Return the attempts that stopped generating tokens; they count as failed."""
         cancels = [
             Cancel(key, number)
             for key, wanted in self.wanted_by_key.items()
             for number, running in wanted.running_by_attempt.items()
-            if running.first_at
+            if running.first_token_at
             and not running.is_generated
             and now - running.progressed_at > STALL_SECONDS
         ]
         for cancel in cancels:
-            self.failed(now, cancel.key, cancel.attempt)
+            self.record_failure(now, cancel.key, cancel.attempt)
         return cancels
 
     def _order(self, key: Key) -> tuple[bool, int, int]:
@@ -258,45 +267,46 @@
         now: float,
         key: Key,
         excluded: frozenset[str] = frozenset(),
-        goes_on_from: int = 0,
+        resumes_attempt: int = 0,
     ) -> Start:
         wanted = self.wanted_by_key[key]
         wanted.n_attempts += 1
         self.n_started += 1
         wanted.running_by_attempt[wanted.n_attempts] = Running(now, progressed_at=now)
-        return Start(key, wanted.n_attempts, excluded, goes_on_from)
+        return Start(key, wanted.n_attempts, excluded, resumes_attempt)
 
-    def progress(
+    def record_progress(
         self, now: float, key: Key, attempt: int, upstream_id: str, n_tokens: int
     ) -> None:
-        """Take note that an attempt got tokens from an engine."""
+        """Record that an attempt received tokens from an engine."""
         running = self._running(key, attempt)
         if running is None:
             return
         if running.upstream_id != upstream_id:
-            # It goes on at another engine, whose pace is another.
+            # The attempt was resumed at another engine, whose pace may differ.
             running.upstream_id = upstream_id
-            running.first_at = now
+            running.first_token_at = now
             running.n_tokens = 0
         else:
-            # The first event's tokens were made before it came.
+            # The tokens of the first event are not counted, because they were generated
+            # before `first_token_at`, from which the pace is measured.
             running.n_tokens += n_tokens
         running.progressed_at = now
 
-    def generated(self, key: Key, attempt: int) -> None:
-        """Take note that an attempt no longer uses an engine."""
+    def mark_generated(self, key: Key, attempt: int) -> None:
+        """Record that an attempt no longer uses an engine."""
         running = self._running(key, attempt)
         if running is None:
             return
         running.is_generated = True
-        seconds = running.progressed_at - running.first_at
+        seconds = running.progressed_at - running.first_token_at
         if running.n_tokens >= MIN_TOKENS and seconds > 0:
             pace = running.n_tokens / seconds
             share = _SMOOTHING if self._usual_pace else 1.0
             self._usual_pace += share * (pace - self._usual_pace)
 
-    def failed(self, now: float, key: Key, attempt: int) -> None:
-        """Take note that an attempt came to nothing; another will be started."""
+    def record_failure(self, now: float, key: Key, attempt: int) -> None:
+        """Record that an attempt failed; another is started after the backoff."""
         wanted = self.wanted_by_key.get(key)
         if wanted is None or wanted.running_by_attempt.pop(attempt, None) is None:
             return
@@ -304,8 +314,8 @@
         wanted.n_failures += 1
         wanted.not_before = now + delay
 
-    def recorded(self, index: int, key: Key, attempt: int) -> list[Cancel]:
-        """Take note that the slot has its sample; other attempts are of no more use."""
+    def mark_recorded(self, index: int, key: Key, attempt: int) -> list[Cancel]:
+        """Record that the slot has its sample; return its other attempts to cancel."""
         self._recorded_at[key] = index
         if key not in self.wanted_by_key:
             return []
@@ -313,12 +323,12 @@
         return self._drop(key)
 
     def is_assigned(self, key: Key) -> bool:
-        """Tell whether a batch waits for the slot at its position."""
+        """Return whether a batch waits for the slot at its position."""
         wanted = self.wanted_by_key.get(key)
         return wanted is not None and wanted.is_assigned
 
     def is_running(self, key: Key, attempt: int) -> bool:
-        """Tell whether the attempt is still of use."""
+        """Return whether the attempt is still in flight."""
         return self._running(key, attempt) is not None
 
     def _running(self, key: Key, attempt: int) -> Running | None:
--- a/bilberrydrum/samples/section.py
+++ b/bilberrydrum/samples/section.py
@@ -1,8 +1,8 @@
 """The replicated state of the samples.
 
-Records are small. A group's prompt is kept until its last sample was acknowledged;
-then the group shrinks to its digest and a packed trace, kept for `HISTORY_SAMPLES`
-further samples.
+Records are small. A group's prompt is kept until its last sample is acknowledged. After
+that only the group's digest and a packed trace are kept, for `HISTORY_SAMPLES` further
+samples.
 """
 
 from collections.abc import Iterator
@@ -16,31 +16,32 @@
 from bilberrydrum.state import machine
 
 SECTION: Final = "samples"
-# Samples per trainer whose trace is kept, and whose group is known again, after the
-# cursor has moved past them: 32 steps of 2,048.
+# Number of acknowledged samples per trainer whose trace is kept, and whose group is
+# recognised if it is requested again: 32 steps of 2,048 samples.
 HISTORY_SAMPLES: Final = 65_536
-# Added to epochs in a state made from a back-up.
+# Added to all epochs when a state group is created from a backup.
 EPOCH_JUMP: Final = 1_000_000
 
 
 @codec.register("samples.slot")
 @attrs.define
 class Slot:
-    """One sample that is wanted."""
+    """A slot of a group: the request for one sample."""
 
     # Highest attempt number ever recorded.
     n_attempts: int = 0
-    # The attempt taken; None: an attempt is wanted.
+    # The accepted attempt; None while the slot needs an attempt.
     record: model.Record | None = None
     position: int = model.UNASSIGNED
-    # Newest weight version when the sample was last found fit for delivery.
+    # Newest weight version when `AssignBatch` last returned the sample; -1 if it has
+    # not.
     delivered_version: int = -1
 
 
 @codec.register("samples.group")
 @attrs.define
 class Group:
-    """A group that has samples which are not acknowledged."""
+    """A group with samples that are not acknowledged."""
 
     request: model.GroupRequest
     # Order in which the trainer's groups were accepted.
@@ -68,15 +69,15 @@
     """The samples of one trainer."""
 
     reader_epoch: int = 0
-    # All positions below are acknowledged.
+    # All positions below this one are acknowledged.
     acknowledged: int = 0
-    # All positions below are assigned.
+    # All positions below this one are assigned.
     n_assigned: int = 0
-    # Slots without a position in groups that are whole.
+    # Number of slots without a position in complete groups.
     n_ready: int = 0
     n_groups_accepted: int = 0
     n_open_slots: int = 0
-    # Rule of the newest bundle that a command was sent under.
+    # Rule from the newest bundle that a command has carried.
     rule: model.Rule = model.Rule(0, 0)
     groups_by_id: dict[str, Group] = attrs.field(factory=dict)
     slots_by_position: dict[int, model.SlotRef] = attrs.field(factory=dict)
@@ -87,13 +88,14 @@
 @codec.register("samples.owner")
 @attrs.define
 class Owner:
-    """A gateway that drives groups."""
+    """A gateway that runs the attempts of the groups assigned to it."""
 
     process_id: str
     incarnation: int
-    # State time at which its groups go to another.
+    # State time at which the lease expires and the groups are reassigned.
     expires_at: float
-    # Changes whenever others changed what this owner has to do; see `touch`.
+    # Changes whenever the owner's work list changes for another reason than a record of
+    # its own; see `bump_revision`.
     revision: int = 0
     n_slots: int = 0
 
@@ -101,7 +103,7 @@
 @codec.register("samples.section")
 @attrs.define
 class Section:
-    """All of it."""
+    """The samples of all trainers, and the owners of their groups."""
 
     trainers_by_name: dict[str, Trainer] = attrs.field(factory=dict)
     owners_by_id: dict[str, Owner] = attrs.field(factory=dict)
@@ -111,23 +113,24 @@
 
 
 def of(state: machine.State) -> Section:
-    """Return the samples' section."""
+    """Return the section of the samples."""
     section: Section = state.section(SECTION, Section)
     return section
 
 
-def touch(section: Section, owner: Owner) -> None:
-    """Give the owner a revision that no owner ever had.
+def bump_revision(section: Section, owner: Owner) -> None:
+    """Give the owner a revision that no owner has had before.
 
-    Counted for each owner alone, one that was taken out and comes back could meet the
-    number that it knows already, and never learn of the groups it has got since.
+    If each owner had its own counter, an owner that is removed and added again could
+    get the revision that it already knows, and would never receive the groups that were
+    assigned to it since.
     """
     section.last_revision += 1
     owner.revision = section.last_revision
 
 
 def trainer_of(state: machine.State, name: str) -> Trainer:
-    """Return a trainer's part, made when there is none."""
+    """Return the state of a trainer, creating it if there is none."""
     trainers = of(state).trainers_by_name
     if name not in trainers:
         trainers[name] = Trainer()
@@ -136,12 +139,12 @@
 
 @machine.keep_rising.register
 def _(section: Section, current: Section | None) -> None:
-    """Let no epoch, cursor or position fall when a back-up is restored.
+    """Prevent epochs, cursors and positions from falling when a backup is restored.
 
-    What has been received since the back-up was made must not be delivered again, so
-    trainers that the state knows keep what it knows of them. A group that starts from
-    a back-up alone knows no more than it; there epochs jump, so that what owners and
-    readers of the time after the back-up still send is refused.
+    Samples received since the backup was made must not be delivered again, so a trainer
+    in the current state replaces the one in the backup. A state group that is created
+    from a backup has no current state. In that case epochs jump, so that commands of
+    owners and readers from the time after the backup are refused.
     """
     if current is not None:
         section.trainers_by_name |= current.trainers_by_name
@@ -163,8 +166,8 @@
             yield group, i, slot
 
 
-def is_whole(group: Group) -> bool:
-    """Tell whether each slot has a sample, or had one when it got its position."""
+def is_complete(group: Group) -> bool:
+    """Return whether each slot has a sample, or had one when it got its position."""
     return all(
         slot.record is not None or slot.position != model.UNASSIGNED
         for slot in group.slots
@@ -175,25 +178,25 @@
     return sum(slot.position == model.UNASSIGNED for slot in group.slots)
 
 
-def take_record(
+def set_record(
     trainer: Trainer, group: Group, slot: Slot, record: model.Record
 ) -> None:
-    """Keep `record` as the slot's sample."""
+    """Set `record` as the slot's sample."""
     slot.record = record
     slot.n_attempts = max(slot.n_attempts, record.attempt)
-    if slot.position == model.UNASSIGNED and is_whole(group):
+    if slot.position == model.UNASSIGNED and is_complete(group):
         trainer.n_ready += _n_unassigned(group)
 
 
 def clear_record(trainer: Trainer, group: Group, slot: Slot) -> None:
-    """Give up the slot's sample; another attempt is wanted at the same position."""
-    if slot.position == model.UNASSIGNED and is_whole(group):
+    """Discard the slot's sample; another attempt will fill the same position."""
+    if slot.position == model.UNASSIGNED and is_complete(group):
         trainer.n_ready -= _n_unassigned(group)
     slot.record = None
 
 
 def assign(trainer: Trainer, group: Group, i_slot: int) -> None:
-    """Give the slot the next position."""
+    """Assign the next position to the slot."""
     slot = group.slots[i_slot]
     slot.position = trainer.n_assigned
     trainer.n_assigned += 1
@@ -204,7 +207,7 @@
 
 
 def acknowledge(section: Section, trainer: Trainer, cursor: int) -> None:
-    """Take note that all positions below `cursor` were received, and forget them."""
+    """Record that all positions below `cursor` were received, and remove them."""
     for position in range(trainer.acknowledged, cursor):
         ref = trainer.slots_by_position.pop(position)
         group = trainer.groups_by_id[ref.group_id]
@@ -230,10 +233,10 @@
 
 
 def pack_trace(group: Group) -> bytes:
-    """Return the slots of a finished group in few bytes.
+    """Return a compact encoding of the slots of a finished group.
 
-    Without names of fields and without what matters only until delivery, a slot takes
-    about 60 bytes in place of 250.
+    Field names, and values that matter only until delivery, are left out. A slot takes
+    about 60 bytes instead of 250.
     """
     return bytes(msgpack.packb([_pack_slot(slot) for slot in group.slots]))
 
@@ -257,7 +260,7 @@
 
 
 def unpack_trace(past: PastGroup, i_slot: int) -> Slot:
-    """Return one slot out of a packed trace; its payload's digest is not kept."""
+    """Return one slot of a packed trace, without its payload digest and holders."""
     n_attempts, position, version, *rest = msgpack.unpackb(past.trace)[i_slot]
     if not rest:
         return Slot(n_attempts, None, position, version)
--- a/bilberrydrum/samples/service.py
+++ b/bilberrydrum/samples/service.py
@@ -1,4 +1,4 @@
-"""The samples' part of a gateway: what trainers and operators may ask of it."""
+"""The sample service of a gateway, used by trainers and operators."""
 
 from typing import Any, Final
 
@@ -21,16 +21,16 @@
 from bilberrydrum.state import client
 
 _SWEEP_SECONDS: Final = 0.1
-# Payloads younger than this may be about to get their record.
+# Payloads younger than this are kept, because their record may not be committed yet.
 _PAYLOAD_GRACE_SECONDS: Final = 30.0
 _PAYLOAD_SWEEP_SECONDS: Final = 5.0
 _KEYS_PER_QUERY: Final = 1000
 
-Refusable = result.Result[Any, problems.Problem]
+ServiceResult = result.Result[Any, problems.Problem]
 
 
 class SampleService:
-    """Owns the tasks that make and deliver samples at this gateway."""
+    """Owns the tasks that generate and deliver samples at this gateway."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         )
 
     def stop(self) -> None:
-        """Stop the tasks and hand the groups to other gateways."""
+        """Stop the tasks and release the groups to other gateways."""
         for task in self._tasks:
             task.kill()
         self._tasks.clear()
@@ -93,7 +93,7 @@
     def add_groups(
         self, trainer: str, groups: tuple[model.GroupRequest, ...]
     ) -> result.Result[commands.GroupsAdded, problems.Problem]:
-        """Take groups on; the same groups again change nothing."""
+        """Add groups; adding the same groups again changes nothing."""
         limit = self.options.samples.max_open_slots
         answer = self._submit(commands.AddGroups(trainer, groups, limit))
         if answer.is_err():
@@ -108,7 +108,7 @@
                 problems.Problem(
                     429,
                     reasons.Reason.QUEUE_FULL,
-                    f"more than {limit} slots would be open",
+                    f"the groups would exceed the limit of {limit} open slots",
                     retry_after_seconds=1.0,
                 )
             )
@@ -116,26 +116,26 @@
         return result.Ok(added)
 
     def read_batch(self, request: delivery.BatchRequest) -> delivery.Answer:
-        """Return a batch, or why there is none."""
+        """Return a batch, or the refusal."""
         return self._reader.read(request)
 
     def trace(
         self, trainer: str, group_id: str, slot: int
     ) -> result.Result[queries.Trace, problems.Problem]:
-        """Return what is known of one sample."""
+        """Return the trace of one sample."""
         return self._query(queries.GetTrace(trainer, group_id, slot))
 
     def trainers(self) -> result.Result[queries.Trainers, problems.Problem]:
-        """Return what is known of all trainers."""
+        """Return the status of all trainers."""
         return self._query(queries.ListTrainers())
 
-    def _submit(self, command: object) -> Refusable:
+    def _submit(self, command: object) -> ServiceResult:
         answer = self._state.submit(command)
         if answer.is_err():
             return result.Err(answer.unwrap_err().to_problem())
         return result.Ok(answer.unwrap())
 
-    def _query(self, query: object) -> Refusable:
+    def _query(self, query: object) -> ServiceResult:
         answer = self._state.query(query)
         if answer.is_err():
             return result.Err(answer.unwrap_err().to_problem())
@@ -150,7 +150,7 @@
                 eliot.write_traceback()
 
     def _expire(self) -> None:
-        """Have waiting samples made again as soon as they are too old."""
+        """Discard waiting samples as soon as they are too stale."""
         versions = self._bundles.weight_versions_by_trainer()
         rules = recorder.rules_by_trainer(self._bundles, set(versions))
         for trainer, rule in rules.items():
@@ -169,7 +169,7 @@
         keys = self._store.keys_older_than(_PAYLOAD_GRACE_SECONDS)
         for first in range(0, len(keys), _KEYS_PER_QUERY):
             chunk = tuple(keys[first : first + _KEYS_PER_QUERY])
-            answer = self._state.query(queries.ListUnneeded(chunk))
+            answer = self._state.query(queries.ListUnusedPayloads(chunk))
             if answer.is_err():
                 return
             for key in answer.unwrap().keys:
--- a/bilberrydrum/samples/staleness.py
+++ b/bilberrydrum/samples/staleness.py
@@ -1,4 +1,4 @@
-"""How old a sample is, in weight versions, and whether it may still be delivered."""
+"""Staleness of samples in weight versions, and the check against the bound."""
 
 from collections.abc import Iterable
 
@@ -6,22 +6,25 @@
 
 
 def staleness(newest_version: int, oldest_version: int) -> int:
-    """Return the staleness; an engine may run ahead of what was published."""
+    """Return the staleness in versions, at least 0.
+
+    An engine may generate with a version that has not been published yet.
+    """
     return max(0, newest_version - oldest_version)
 
 
-def is_fit(record: model.Record, newest_version: int, bound: int) -> bool:
-    """Tell whether `record` may be delivered while `newest_version` is the newest."""
+def is_within_bound(record: model.Record, newest_version: int, bound: int) -> bool:
+    """Return whether `record` may be delivered while `newest_version` is the newest."""
     return staleness(newest_version, record.oldest_version()) <= bound
 
 
-def can_still_be_fit(
+def can_be_within_bound(
     segments: Iterable[model.Segment], newest_version: int, bound: int
 ) -> bool:
-    """Tell whether an attempt with these first segments can end as a fit sample.
+    """Return whether an attempt with these segments so far can be within the bound.
 
     The newest version only rises and a segment's version never changes, so an attempt
-    that is past the bound stays past it.
+    that exceeds the bound will always exceed it.
     """
     versions = [segment.weight_version for segment in segments]
     return not versions or staleness(newest_version, min(versions)) <= bound
--- a/misc/measures/sample_trainer.py
+++ b/misc/measures/sample_trainer.py
@@ -27,14 +27,14 @@
         self._open_reader()
         while self.n_steps < self.options.n_warm_steps:
             self._step()
-        self.account.n_by_staleness.clear()
+        self.ledger.n_by_staleness.clear()
         steps = []
         began = time.time()
         while time.time() < began + self.options.measure_seconds:
             steps.append(self._step())
         ended = time.time()
         return {
-            **self.account.report(),
+            **self.ledger.report(),
             "began": began,
             "ended": ended,
             "n_steps": len(steps),
@@ -44,18 +44,18 @@
             "n_retries": self.n_retries,
             "n_tokens_by_sample": {
                 sample_id: len(token_ids)
-                for sample_id, token_ids in self.account.tokens_by_id.items()
+                for sample_id, token_ids in self.ledger.tokens_by_id.items()
             },
         }
 
     def _step(self) -> dict[str, Any]:
-        self._ask_ahead()
+        self._request_ahead()
         began = time.monotonic()
         samples = self._read_step()
         idle = time.monotonic() - began
         self.n_steps += 1
         # Asked for before training, so that engines have work meanwhile.
-        self._ask_ahead()
+        self._request_ahead()
         eventlet.sleep(self.options.step_seconds)
         if self.n_steps % self.options.publish_every == 0:
             self._publish()
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -1,7 +1,7 @@
-"""A stand-in for a model engine.
+"""A fake model engine.
 
-It announces itself, streams tokens whose ids tell the weight version that made them,
-loads weights from the weight store and swaps them while streams run. Faults are
+It announces itself, streams tokens whose ids encode the weight version that generated
+them, loads weights from the weight store and swaps them while streams run. Faults are
 switched on at ``POST /control``: see `faults.EngineFaults`.
 """
 
@@ -31,16 +31,16 @@
     tokens,
 )
 
-# Exit code of a crash that was asked for.
+# Exit code of a requested crash.
 CRASH_CODE: Final = 17
-# Longest time without a token before a stream's client is given up on.
-STREAM_SECONDS: Final = 300.0
-# Samples of the load that are remembered to report it late.
+# Time without a token after which a stream is stopped.
+STREAM_TIMEOUT_SECONDS: Final = 300.0
+# Number of load values kept, so that the load can be reported late.
 N_LOADS: Final = 8
 
 
 class ConnectionDropError(Exception):
-    """Ends a stream without its last chunk."""
+    """Raised to end a stream without its last chunk."""
 
 
 class Engine:
@@ -81,10 +81,10 @@
             [self._load_now()], N_LOADS
         )
 
-    # What it tells of itself.
+    # Announcements and reports.
 
     def announcement(self) -> dict[str, Any]:
-        """Return the announcement as it is now."""
+        """Return the current announcement."""
         return {
             "kind": "engine",
             "address": f"127.0.0.1:{self.options.port}",
@@ -96,7 +96,7 @@
         }
 
     def renewal(self) -> dict[str, Any]:
-        """Return a renewal; the load in it is as old as the lag."""
+        """Return a renewal; its load is as old as the configured lag."""
         return {
             "load": self._loads[0],
             "models": self.orders.models(),
@@ -111,8 +111,8 @@
             "tokens_per_second": self.batcher.tokens_per_second,
         }
 
-    def watch_load(self) -> None:
-        """Remember the load, so that a report can be late."""
+    def record_load(self) -> None:
+        """Record the load at intervals, so that reports can be late."""
         while True:
             eventlet.sleep(self.options.load_lag_seconds / N_LOADS)
             self._loads.append(self._load_now())
@@ -154,21 +154,25 @@
         )
         if body.get("stream"):
             return server.Answer(events=self._events(stream))
-        return self._whole(stream)
+        return self._complete_answer(stream)
 
-    def _made(self, stream: batching.Stream) -> Iterator[batching.TokenEvent]:
-        """Yield what is made for a stream; closing this cancels it."""
+    def _generated_events(
+        self, stream: batching.Stream
+    ) -> Iterator[batching.TokenEvent]:
+        """Yield the generated events of a stream; closing the generator cancels it."""
         first = stream.n_made
         segments: list[list[int]] = []
         finish = "cancelled"
         try:
             while True:
-                made = stream.events.get(timeout=STREAM_SECONDS)
-                segments.append([made.weight_version, first, len(made.token_ids)])
-                first += len(made.token_ids)
-                yield made
-                if made.finish_reason is not None:
-                    finish = made.finish_reason
+                generated = stream.events.get(timeout=STREAM_TIMEOUT_SECONDS)
+                segments.append(
+                    [generated.weight_version, first, len(generated.token_ids)]
+                )
+                first += len(generated.token_ids)
+                yield generated
+                if generated.finish_reason is not None:
+                    finish = generated.finish_reason
                     return
         except queue.Empty:
             finish = "stalled"
@@ -179,7 +183,7 @@
             )
 
     def _event(
-        self, stream: batching.Stream, request_id: str, made: batching.TokenEvent
+        self, stream: batching.Stream, request_id: str, generated: batching.TokenEvent
     ) -> dict[str, Any]:
         return {
             "id": request_id,
@@ -187,12 +191,12 @@
             "choices": [
                 {
                     "index": 0,
-                    "text": tokens.text_of(made.token_ids),
-                    "token_ids": list(made.token_ids),
-                    "finish_reason": made.finish_reason,
+                    "text": tokens.text_of(generated.token_ids),
+                    "token_ids": list(generated.token_ids),
+                    "finish_reason": generated.finish_reason,
                 }
             ],
-            "weight_version": made.weight_version,
+            "weight_version": generated.weight_version,
         }
 
     def _events(self, stream: batching.Stream) -> Iterator[bytes]:
@@ -205,8 +209,8 @@
         if self.faults.take("wrong_ids"):
             request_id = f"{request_id}-of-another"
             stream.prompt = f"{stream.prompt} of another"
-        for made in self._made(stream):
-            event = self._event(stream, request_id, made)
+        for generated in self._generated_events(stream):
+            event = self._event(stream, request_id, generated)
             if is_versionless:
                 del event["weight_version"]
             yield f"data: {json.dumps(event)}\n\n".encode()
@@ -216,18 +220,18 @@
                 raise ConnectionDropError
         yield b"data: [DONE]\n\n"
 
-    def _whole(self, stream: batching.Stream) -> server.Answer:
+    def _complete_answer(self, stream: batching.Stream) -> server.Answer:
         """Answer without a stream; the version is that of the oldest token."""
-        made = list(self._made(stream))
-        token_ids = tuple(i for part in made for i in part.token_ids)
-        version = min(part.weight_version for part in made)
-        whole = batching.TokenEvent(token_ids, version, made[-1].finish_reason)
-        return server.Answer(value=self._event(stream, stream.request_id, whole))
+        generated = list(self._generated_events(stream))
+        token_ids = tuple(i for part in generated for i in part.token_ids)
+        version = min(part.weight_version for part in generated)
+        event = batching.TokenEvent(token_ids, version, generated[-1].finish_reason)
+        return server.Answer(value=self._event(stream, stream.request_id, event))
 
     # Control by the test or the demo.
 
     def watch_crash(self) -> None:
-        """Crash when told to, in the middle of whatever is running."""
+        """Crash in the middle of the running streams once the limit is reached."""
         while True:
             eventlet.sleep(0.005)
             limit = self.faults.crash_after_tokens
@@ -258,7 +262,7 @@
         )
 
     def stop(self) -> None:
-        """Leave, let streams end for a while, and exit."""
+        """Leave, wait a limited time for streams to end, and exit."""
         self.announcer.leave()
         with eventlet.Timeout(self.options.leave_seconds, False):
             while self.batcher.running or self.batcher.n_waiting:
@@ -266,12 +270,12 @@
         os._exit(0)
 
     def run(self) -> None:
-        """Serve until told to stop."""
+        """Serve until terminated."""
         server.on_terminate(self.stop)
         for task in (
             self.batcher.run,
             self.announcer.run,
-            self.watch_load,
+            self.record_load,
             self.publish_cache_events,
             self.watch_crash,
         ):
--- a/tests/fakes/planner.py
+++ b/tests/fakes/planner.py
@@ -1,9 +1,9 @@
-"""A stand-in for the planners: they look up crew windows and book them.
+"""Fake planners, which look up crew windows and book them.
 
-A lookup is retried over all gateways without end. A booking carries an Idempotency-Key
-and is retried with the same key until its outcome is known; now and then a planner
-gives up on one that it was told had not run. Runs until SIGTERM, then ends the work in
-hand and writes its report.
+A lookup is retried over all gateways without limit. A booking carries an
+Idempotency-Key and is retried with the same key until its outcome is known. Some
+bookings that did not run, according to the answer, are given up. The process runs until
+SIGTERM, finishes the requests in progress and writes its report.
 """
 
 import argparse
@@ -24,12 +24,12 @@
 
 OUTCOME_NOT_RUN: Final = "not-run"
 OUTCOME_UNKNOWN: Final = "unknown"
-# Of the bookings that a planner is told did not run, one in so many is given up.
+# One in this many answers that a booking did not run makes the planner give it up.
 GIVE_UP_EVERY: Final = 3
 
 
 class Planner:
-    """Some planners at work, each a task."""
+    """A number of planners, each in its own task."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -42,7 +42,7 @@
         self._is_stopping = False
 
     def run(self) -> dict[str, Any]:
-        """Work until told to stop; return the report."""
+        """Work until stopped; return the report."""
         server.on_terminate(self._stop)
         tasks = [eventlet.spawn(self._work, i) for i in range(self.options.n_planners)]
         for task in tasks:
@@ -85,7 +85,7 @@
         path = f"/apps/{self.options.application}/windows?crew={crew}&lookup_id={name}"
         while True:
             answer = client.request(
-                "GET", path, headers=self._headers(), timeout=self._patience
+                "GET", path, headers=self._headers(), timeout=self._client_timeout
             )
             if answer is not None and answer.status == 200:
                 value = answer.json()
@@ -109,7 +109,7 @@
                 f"/apps/{self.options.application}/bookings",
                 body,
                 headers,
-                timeout=self._patience,
+                timeout=self._client_timeout,
             )
             outcome = self._outcome(name, answer)
             if outcome is not None:
@@ -119,7 +119,7 @@
         self.journal.write("outcome", booking_id=name, outcome=outcome)
 
     def _outcome(self, name: str, answer: gateways.Answer | None) -> str | None:
-        """Return what is known for good of a booking; None: ask again."""
+        """Return the final outcome of a booking, or None if it must be retried."""
         if answer is None:
             return None
         if answer.status == 201:
@@ -137,7 +137,7 @@
         return None
 
     @property
-    def _patience(self) -> float:
+    def _client_timeout(self) -> float:
         return float(self.options.timeout_seconds) + 1.0
 
     def _mismatch(self, name: str, value: dict[str, Any]) -> None:
--- a/tests/fakes/trainer.py
+++ b/tests/fakes/trainer.py
@@ -1,10 +1,10 @@
-"""A stand-in for a trainer.
+"""A fake trainer.
 
-It asks for groups some steps ahead, reads a batch for each step, checks every sample,
-trains for a fixed time and publishes new weights now and then. It retries without end.
-On SIGTERM it asks for no more groups, and ends with the last one that it asked for.
-Now and then it reads a batch again, or starts over as a new reader, as a trainer that
-lost an answer or was restarted would.
+It requests groups some steps ahead, reads a batch for each step, checks every sample,
+trains for a fixed time and publishes new weights every few steps. It retries without
+limit. On SIGTERM it stops requesting groups, and exits after the last step it has
+requested. Every few steps it reads a batch again, or opens a new reader, as a trainer
+would that lost an answer or was restarted.
 """
 
 import argparse
@@ -31,7 +31,7 @@
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
-        self.account = samples.Account(options.id)
+        self.ledger = samples.SampleLedger(options.id)
         self.journal = journal.Journal(options.journal)
         self.weight_version = 0
         self.idle_seconds = 0.0
@@ -42,16 +42,16 @@
         self._pool = urllib3.PoolManager(retries=False)
         self._reader_epoch = 0
         self._cursor = 0
-        self._n_steps_asked = 0
+        self._n_steps_requested = 0
         self._is_stopping = False
 
     def run(self) -> dict[str, Any]:
         """Train; return the report."""
-        server.on_terminate(self._ask_no_more)
+        server.on_terminate(self._stop_requesting)
         self._open_reader()
         start = time.monotonic()
         while self.n_steps < self._n_steps_wanted():
-            self._ask_ahead()
+            self._request_ahead()
             batch_start = time.monotonic()
             batch = self._read_step()
             self.idle_seconds += time.monotonic() - batch_start
@@ -69,7 +69,7 @@
         total = time.monotonic() - start
         self._acknowledge_all()
         return {
-            **self.account.report(),
+            **self.ledger.report(),
             "n_steps": self.n_steps,
             "weight_version": self.weight_version,
             "trainer_idle_fraction": round(self.idle_seconds / total, 4),
@@ -77,19 +77,21 @@
             "n_retries": self.n_retries,
         }
 
-    def _ask_no_more(self) -> None:
+    def _stop_requesting(self) -> None:
         self._is_stopping = True
 
     def _n_steps_wanted(self) -> int:
         if self._is_stopping:
-            return self._n_steps_asked
+            return self._n_steps_requested
         n_steps: int = self.options.n_steps
         return n_steps
 
     # Requests to the system.
 
-    def _ask(self, method: str, path: str, value: Any = None) -> gateways.Answer:
-        """Ask until there is a 2xx answer, or a 409 that no retry would change."""
+    def _send_request(
+        self, method: str, path: str, value: Any = None
+    ) -> gateways.Answer:
+        """Retry until there is a 2xx answer, or a 409 that no retry would change."""
         while True:
             answer = self._client.request(
                 method, self._path + path, value, timeout=TIMEOUT_SECONDS
@@ -107,20 +109,23 @@
             eventlet.sleep(0.1 if answer is None else answer.retry_after(most=0.5))
 
     def _open_reader(self) -> None:
-        answer = self._ask("POST", "/readers", {}).json()
+        answer = self._send_request("POST", "/readers", {}).json()
         if answer["cursor"] != self._cursor:
-            raise SystemExit(f"cursor {answer['cursor']}, {self._cursor} acknowledged")
+            raise SystemExit(
+                f"new reader got cursor {answer['cursor']}, "
+                f"expected {self._cursor} as acknowledged"
+            )
         self._reader_epoch = answer["reader_epoch"]
 
-    def _ask_ahead(self) -> None:
-        """Ask for the groups of the steps to come."""
+    def _request_ahead(self) -> None:
+        """Request the groups of the steps ahead."""
         options = self.options
         n_steps = min(self._n_steps_wanted(), self.n_steps + 1 + options.n_steps_ahead)
-        while self._n_steps_asked < n_steps:
-            step = self._n_steps_asked
+        while self._n_steps_requested < n_steps:
+            step = self._n_steps_requested
             groups = [self._group(step, i) for i in range(options.n_groups)]
             for group in groups:
-                self.account.ask(group)
+                self.ledger.record_request(group)
             value = {
                 "groups": [
                     {
@@ -132,10 +137,12 @@
                     for group in groups
                 ]
             }
-            answer = self._ask("POST", "/groups", value)
+            answer = self._send_request("POST", "/groups", value)
             if answer.status != 202:
-                raise SystemExit(f"groups: {answer.status} {answer.body!r}")
-            self._n_steps_asked += 1
+                raise SystemExit(
+                    f"group request failed with {answer.status}: {answer.body!r}"
+                )
+            self._n_steps_requested += 1
 
     def _group(self, step: int, number: int) -> samples.Group:
         plant = f"plant {number} of {self.options.id}"
@@ -147,7 +154,7 @@
         )
 
     def _read_step(self) -> list[dict[str, Any]]:
-        """Read the samples of one step; a batch may bring fewer than asked for."""
+        """Read the samples of one step; a batch may contain fewer than requested."""
         n_wanted = self.options.n_groups * self.options.n_slots
         step: list[dict[str, Any]] = []
         while len(step) < n_wanted:
@@ -167,7 +174,7 @@
     def _read(self, n_samples: int) -> dict[str, Any]:
         """Read and check the samples from the cursor on."""
         while True:
-            answer = self._ask(
+            answer = self._send_request(
                 "GET",
                 f"/batches?reader_epoch={self._reader_epoch}&cursor={self._cursor}"
                 f"&n_samples={n_samples}&wait_seconds={WAIT_SECONDS}",
@@ -177,17 +184,19 @@
             reason = answer.problem().get("reason")
             self.journal.write("refused", reason=reason)
             if reason != "reader-superseded":
-                raise SystemExit(f"batch: {answer.body!r}")
+                raise SystemExit(f"batch request failed: {answer.body!r}")
             self._open_reader()
         batch: dict[str, Any] = answer.json()
         for number, sample in enumerate(batch["samples"]):
-            self.account.take(sample, self.weight_version)
+            self.ledger.check_sample(sample, self.weight_version)
             if sample["position"] != self._cursor + number:
-                raise SystemExit(f"position {sample['position']} at {self._cursor}")
+                raise SystemExit(
+                    f"got position {sample['position']} in the batch at {self._cursor}"
+                )
         return batch
 
     def _acknowledge_all(self) -> None:
-        """Move the cursor over the last batch, as the next step would."""
+        """Acknowledge the last batch, as the next step would."""
         self._client.request(
             "GET",
             f"{self._path}/batches?reader_epoch={self._reader_epoch}"
@@ -205,9 +214,11 @@
             except urllib3.exceptions.HTTPError:
                 self.n_retries += 1
             eventlet.sleep(0.1)
-        answer = self._ask("POST", "/weights", {"weight_version": version})
+        answer = self._send_request("POST", "/weights", {"weight_version": version})
         if answer.status != 200:
-            raise SystemExit(f"weights: {answer.status} {answer.body!r}")
+            raise SystemExit(
+                f"publication failed with {answer.status}: {answer.body!r}"
+            )
         self.weight_version = version
         self.journal.write("published", weight_version=version)
 
--- a/tests/path_support.py
+++ b/tests/path_support.py
@@ -135,9 +135,9 @@
         max_tokens = 24
         gateway = gateway or self.gateways[0]
         trainer = f"/v1/trainers/{andes.TRAINER}"
-        account = samples.Account(andes.TRAINER)
+        account = samples.SampleLedger(andes.TRAINER)
         group = samples.Group(name, prompt, n_slots, max_tokens)
-        account.ask(group)
+        account.record_request(group)
 
         def post(path, value):
             return self.until_answered(
@@ -177,7 +177,7 @@
 
         self.wait_for(is_whole, f"the samples of {name}")
         for sample in batches[-1]["samples"]:
-            account.take(sample, published_version=0)
+            account.check_sample(sample, published_version=0)
         type(self).cursor = batches[-1]["next_cursor"]
         # Asking from the next cursor on is what acknowledges the batch.
         self.assertEqual("batch-not-ready", read(1, 0).json()["reason"])
--- a/tests/samples_support.py
+++ b/tests/samples_support.py
@@ -1,4 +1,4 @@
-"""Fakes for the sample tests: a state group of one, upstreams, a bundle."""
+"""Fakes for the sample tests: a state group of one replica, upstreams, a bundle."""
 
 import json
 from collections.abc import Callable, Iterator
@@ -27,7 +27,7 @@
 
 @attrs.define
 class Machine:
-    """The state machine alone: commands in, answers out, time by hand."""
+    """The state machine alone: applies commands, answers queries, sets time by hand."""
 
     state: machine.State = attrs.field(factory=machine.State)
     index: int = 0
@@ -36,7 +36,8 @@
     def apply(self, command: object) -> Any:
         self.index += 1
         context = machine.Context(self.index, self.time)
-        # What a command or an answer loses on the wire must be seen here too.
+        # Encoded and decoded, so that the test notices what a command or an answer
+        # loses in transit.
         answer = machine.apply(codec.decode(codec.encode(command)), self.state, context)
         return codec.decode(codec.encode(answer))
 
@@ -46,7 +47,7 @@
         return codec.decode(codec.encode(answer))
 
     def restart(self) -> None:
-        """Go on from a snapshot, as after all processes have restarted."""
+        """Continue from a snapshot, as after a restart of all processes."""
         self.state = machine.State(
             {
                 name: codec.decode(codec.encode(section))
@@ -120,15 +121,15 @@
 
 @attrs.define
 class FakeState:
-    """A state group of one; `faults` lists the errors of the next calls."""
+    """A state group of one replica; `faults` lists the errors of the next calls."""
 
     machine: Machine = attrs.field(factory=Machine)
-    # Each entry: "" is no fault, "lost" applies and loses the answer, "refused" does
-    # not apply.
+    # An empty entry is no fault. "lost" applies the command and loses the answer;
+    # "refused" does not apply it.
     faults: list[str] = attrs.field(factory=list)
-    # Nothing gets through while this is set.
-    is_cut: bool = False
-    # Called after each query that was answered.
+    # While this is set, no call reaches the state group.
+    is_unreachable: bool = False
+    # Called after each query, whether or not it was answered.
     after_query: Callable[[], None] = lambda: None
 
     def submit(
@@ -146,7 +147,7 @@
     def _call(self, action: Any, value: object) -> Any:
         clock.sleep(0)
         fault = self.faults.pop(0) if self.faults else ""
-        if self.is_cut or fault == "refused":
+        if self.is_unreachable or fault == "refused":
             return result.Err(
                 client.StateError(reasons.Reason.STATE_UNAVAILABLE, False)
             )
@@ -158,7 +159,7 @@
 
 @attrs.define
 class FakeBundles:
-    """A bundle view that says what it is told."""
+    """A bundle view with the values set by the test."""
 
     bundle: bundle_model.Bundle
     versions_by_trainer: dict[str, int] = attrs.field(factory=dict)
@@ -179,7 +180,7 @@
 
 @attrs.define
 class FakeRegistry:
-    """Engines that stand."""
+    """A registry of available engines."""
 
     upstreams: dict[str, upstream_model.Upstream] = attrs.field(factory=dict)
 
@@ -195,16 +196,16 @@
 
 @attrs.define
 class FakeDispatcher:
-    """Streams and scores by script; an entry that is a number is a pause."""
+    """Streams and scores by script; a number in a script is a pause in seconds."""
 
-    # Scripts of the next streams; the last one is used again and again.
+    # Scripts of the next streams; the last one is repeated.
     scripts: list[Script]
-    # Bodies of the scorer's next answers; None: the right one.
+    # Bodies of the scorer's next answers; None for the correct one.
     score_bodies: list[bytes | None] = attrs.field(factory=list)
     calls: list[request_model.ModelCall] = attrs.field(factory=list)
     application_calls: list[request_model.ApplicationCall] = attrs.field(factory=list)
     n_closed: int = 0
-    # Kept, so that a stream ends when it is closed and not when it is forgotten.
+    # Referenced, so that a stream ends when it is closed and not when it is collected.
     streams: list[Iterator[request_model.StreamEvent]] = attrs.field(factory=list)
 
     def stream(
@@ -269,7 +270,10 @@
 
 
 def ready_machine() -> Machine:
-    """A group of two slots, both with a sample of version 0, owner gw-1, epoch 1."""
+    """Return a machine with a group of two slots, owned by gw-1 under epoch 1.
+
+    Both slots have a sample of version 0.
+    """
     machine = Machine()
     machine.renew("gw-1")
     machine.renew("gw-2")
@@ -280,7 +284,7 @@
     return machine
 
 
-def places(batch: commands.Batch) -> list[tuple[int, str, int, int]]:
+def positions_of(batch: commands.Batch) -> list[tuple[int, str, int, int]]:
     return [
         (each.position, each.group_id, each.slot, each.record.attempt)
         for each in batch.samples
--- a/tests/test_demo_figures.py
+++ b/tests/test_demo_figures.py
@@ -47,12 +47,12 @@
 
 class AccountTest(unittest.TestCase):
     def setUp(self):
-        self.account = samples.Account("outage")
-        self.account.ask(GROUP)
+        self.account = samples.SampleLedger("outage")
+        self.account.record_request(GROUP)
 
     def test_true_samples_leave_all_zeros(self):
         for slot in range(2):
-            self.account.take(make_sample(slot, slot), published_version=5)
+            self.account.check_sample(make_sample(slot, slot), published_version=5)
         report = self.account.report()
         self.assertEqual([], report["examples"])
         names = ("n_samples_delivered", "n_duplicates", "n_lost", "n_untraceable")
@@ -61,7 +61,7 @@
 
     def test_sample_read_again_at_its_position_is_no_duplicate(self):
         for _ in range(2):
-            self.account.take(make_sample(), published_version=5)
+            self.account.check_sample(make_sample(), published_version=5)
         report = self.account.report()
         self.assertEqual([0, 1], [report["n_duplicates"], report["n_redelivered"]])
 
@@ -70,12 +70,12 @@
         ("two samples at one position", make_sample(0, 0), make_sample(1, 0)),
     )
     def test_second_delivery_is_a_duplicate(self, what, first, second):
-        self.account.take(first, published_version=5)
-        self.account.take(second, published_version=5)
+        self.account.check_sample(first, published_version=5)
+        self.account.check_sample(second, published_version=5)
         self.assertEqual(1, self.account.report()["n_duplicates"])
 
     def test_missing_sample_is_lost(self):
-        self.account.take(make_sample(), published_version=5)
+        self.account.check_sample(make_sample(), published_version=5)
         self.assertEqual(1, self.account.report()["n_lost"])
 
     @tools.params(
@@ -96,13 +96,13 @@
         ("a slot not asked for", {"slot": 2, "sample_id": "outage/g1/2"}),
     )
     def test_untrue_sample_is_untraceable(self, what, changes):
-        self.account.take(make_sample(**changes), published_version=5)
+        self.account.check_sample(make_sample(**changes), published_version=5)
         self.assertEqual(1, self.account.report()["n_untraceable"], what)
 
     def test_sample_with_an_end_may_be_short(self):
         short = [*TRUE_IDS[:2], tokens.END_TOKEN_ID]
         segments = [segment(3, 0, 1), segment(4, 2, 2)]
-        self.account.take(
+        self.account.check_sample(
             make_sample(token_ids=short, segments=segments), published_version=5
         )
         self.assertEqual(0, self.account.report()["n_untraceable"])
--- a/tests/test_http_trainers.py
+++ b/tests/test_http_trainers.py
@@ -1,4 +1,4 @@
-"""The trainers' interface over the real service, with fakes on its far side."""
+"""The trainers' interface over the real service, with fake upstreams and state."""
 
 import json
 import unittest
@@ -21,7 +21,7 @@
 
 
 class Site:
-    """One gateway's sample service behind an edge."""
+    """The sample service of one gateway behind an edge."""
 
     def __init__(self, script: support.Script = SCRIPT) -> None:
         address = f"127.0.0.1:{helpers.free_port()}"
@@ -72,7 +72,7 @@
         query = f"reader_epoch={epoch}&cursor={cursor}&n_samples=2&wait_seconds={wait}"
         return self.site.call("GET", f"/v1/trainers/outage/batches?{query}")
 
-    def test_sample_goes_the_whole_way(self) -> None:
+    def test_sample_from_request_to_acknowledgement(self) -> None:
         status, reader = self.site.call("POST", "/v1/trainers/outage/readers")
         self.assertEqual((status, reader), (201, {"reader_epoch": 1, "cursor": 0}))
         groups = {"groups": [group()]}
@@ -110,7 +110,8 @@
         status, listed = self.site.call("GET", "/v1/trainers/outage", token="secret")
         self.assertEqual((status, listed["cursor"]), (200, 2))
 
-    def test_older_reader_is_told_so(self) -> None:
+    def test_older_reader_is_refused(self) -> None:
+        """Two processes read for one trainer; the older one requests a batch."""
         for _ in range(2):
             self.site.call("POST", "/v1/trainers/outage/readers")
         status, problem = self.read(0, epoch=1, wait=0)
@@ -160,7 +161,7 @@
         answer = self.site.call(method, path)
         self.assertEqual((answer[0], answer[1]["reason"]), (status, reason))
 
-    def test_operators_ask_for_what_is_not_there(self) -> None:
+    def test_operator_requests_for_unknown_items(self) -> None:
         for path, status in (
             ("/v1/samples/outage/g/0", 404),
             ("/v1/samples/outage/g/x", 400),
@@ -170,6 +171,10 @@
                 self.assertEqual(self.site.call("GET", path, token="secret")[0], status)
 
     def test_group_id_with_other_content_is_refused(self) -> None:
+        """A request repeats a group's id with another prompt.
+
+        None of its groups may be added, or the trainer could not repair and retry it.
+        """
         path = "/v1/trainers/outage/groups"
         self.site.call("POST", path, {"groups": [group()]})
         other = {"groups": [group(prompt="other"), group(group_id="new")]}
@@ -181,6 +186,7 @@
         )
 
     def test_gateway_without_bundle_refuses(self) -> None:
+        """A gateway whose bundle lease has expired does not know the current rules."""
         self.site.bundles.refusal = reasons.Reason.BUNDLE_LEASE_EXPIRED
         status, problem = self.site.call("POST", "/v1/trainers/outage/readers")
         self.assertEqual((status, problem["reason"]), (503, "bundle-lease-expired"))
--- a/tests/test_samples_attempts.py
+++ b/tests/test_samples_attempts.py
@@ -49,10 +49,10 @@
             lambda: self.generated.append(True),
         )
 
-    def test_whole_attempt(self) -> None:
-        made = self.attempt([OK]).run().unwrap()
-        self.assertEqual(made.segments, (model.Segment(0, 0, 1),))
-        self.assertEqual((made.score, made.payload.token_ids), (0.5, (1, 2)))
+    def test_complete_attempt(self) -> None:
+        scored = self.attempt([OK]).run().unwrap()
+        self.assertEqual(scored.segments, (model.Segment(0, 0, 1),))
+        self.assertEqual((scored.score, scored.payload.token_ids), (0.5, (1, 2)))
         body = json.loads(self.dispatcher.application_calls[0].body)
         self.assertEqual(
             body,
@@ -67,11 +67,11 @@
 
     @tools.params(
         ("fails before a token", [failed()], R.ANSWER_TRUNCATED),
-        ("ends without a word", [support.tokens(1)], R.ANSWER_TRUNCATED),
+        ("ends without a final event", [support.tokens(1)], R.ANSWER_TRUNCATED),
         ("no version", [support.tokens(1, version=None)], R.SAMPLE_UNTRACEABLE),
         ("no tokens", [support.finished()], R.SAMPLE_UNTRACEABLE),
     )
-    def test_attempt_that_comes_to_nothing(
+    def test_attempt_that_fails(
         self, name: str, script: support.Script, reason: reasons.Reason
     ) -> None:
         self.registry.upstreams.clear()
@@ -81,23 +81,27 @@
         self.assertEqual(self.dispatcher.n_closed, 1, name)
 
     def test_engine_crash_is_resumed_from_the_tokens_so_far(self) -> None:
-        """An engine crashes in mid-stream; the sample goes on at another engine.
+        """An engine crashes in mid-stream and the sample is resumed at another engine.
 
-        The tokens made so far keep the version that made them.
+        The tokens generated before the crash keep the version that generated them.
         """
         rest = [support.tokens(3, version=1), support.finished()]
-        made = self.attempt([[support.tokens(1, 2), failed()], rest]).run().unwrap()
+        scored = self.attempt([[support.tokens(1, 2), failed()], rest]).run().unwrap()
         self.assertEqual(
-            made.segments, (model.Segment(0, 0, 1), model.Segment(1, 2, 2))
+            scored.segments, (model.Segment(0, 0, 1), model.Segment(1, 2, 2))
         )
-        self.assertEqual(made.payload.token_ids, (1, 2, 3))
+        self.assertEqual(scored.payload.token_ids, (1, 2, 3))
         resumed = self.dispatcher.calls[1]
         self.assertEqual(resumed.resume_token_ids, (1, 2))
         self.assertEqual(resumed.excluded_upstream_ids, {"engine-1"})
         ids = [call.request_id for call in self.dispatcher.calls]
         self.assertEqual(len(set(ids)), 2)
 
-    def test_engine_that_cannot_resume_is_not_asked_to(self) -> None:
+    def test_attempt_is_not_resumed_without_another_engine(self) -> None:
+        """An engine crashes in mid-stream and no other engine can resume the sample.
+
+        The attempt fails; it is not sent to an engine that would start over.
+        """
         self.registry.upstreams.pop("engine-2")
         attempt = self.attempt([[support.tokens(1), failed()], OK])
         self.assertEqual(attempt.run().err(), R.ANSWER_TRUNCATED)
@@ -106,7 +110,8 @@
     def test_attempt_past_the_bound_is_stopped_early(self) -> None:
         """Versions are published while an engine generates with an old one.
 
-        The stream is closed at its next event; nobody waits for its end.
+        The attempt can no longer be within the bound, so its stream is closed at the
+        next event and the remaining tokens are not generated.
         """
         script = [support.tokens(1), support.tokens(2), *OK]
         attempt = self.attempt([script])
@@ -114,10 +119,14 @@
             {support.TRAINER: 3}
         )
         self.assertEqual(attempt.run().err(), R.SAMPLE_STALE)
-        self.assertEqual(len(attempt.trail.token_ids), 1)
+        self.assertEqual(len(attempt.output.token_ids), 1)
         self.assertEqual(self.dispatcher.n_closed, 1)
 
     def test_bound_tightened_while_generating(self) -> None:
+        """A bundle with a tighter bound is rolled while an engine generates.
+
+        The bound in force counts, not the one at the start of the attempt.
+        """
         attempt = self.attempt([[support.tokens(1), support.tokens(2), *OK]])
         self.bundles.versions_by_trainer[support.TRAINER] = 1
         attempt.on_progress = lambda *_: setattr(
@@ -125,23 +134,36 @@
         )
         self.assertEqual(attempt.run().err(), R.SAMPLE_STALE)
 
-    def test_engines_too_old_are_not_asked_for(self) -> None:
+    def test_engines_with_stale_weights_are_excluded(self) -> None:
+        """An engine still has weights that exceed the bound.
+
+        A sample that it generated would be discarded, so the call names the oldest
+        weight version that is allowed.
+        """
         self.bundles.versions_by_trainer[support.TRAINER] = 5
         self.attempt([[support.tokens(1, version=5), support.finished()]]).run()
         self.assertEqual(self.dispatcher.calls[0].min_weight_version, 3)
 
-    def test_scorer_that_fails_is_asked_again_with_the_same_sample(self) -> None:
-        """A scorer's answer is broken or another sample's; the tokens are kept."""
+    def test_failed_scoring_is_retried_with_the_same_sample(self) -> None:
+        """A scorer's answer is broken or for another sample.
+
+        The tokens are kept and the same request is sent to the scorer again.
+        """
         bodies: list[bytes | None] = [b"{", b'{"sample_id": "x", "score": 1}', None]
-        made = self.attempt([OK], bodies).run().unwrap()
-        self.assertEqual(made.score, 0.5)
+        scored = self.attempt([OK], bodies).run().unwrap()
+        self.assertEqual(scored.score, 0.5)
         self.assertEqual(len(self.dispatcher.calls), 1)
         bodies_sent = {call.body for call in self.dispatcher.application_calls}
         self.assertEqual(
             (len(self.dispatcher.application_calls), len(bodies_sent)), (3, 1)
         )
 
-    def test_scorer_that_never_answers_is_left_when_the_sample_is_too_old(self) -> None:
+    def test_scoring_stops_when_the_sample_is_stale(self) -> None:
+        """A scorer never gives a valid answer while versions are published.
+
+        Scoring is retried without limit, so the attempt must fail once the sample
+        exceeds the bound.
+        """
         attempt = self.attempt([OK], [b"{"] * 1000)
 
         def age() -> None:
@@ -153,6 +175,10 @@
             self.assertEqual(attempt.run().err(), R.SAMPLE_STALE)
 
     def test_killed_attempt_closes_its_stream(self) -> None:
+        """An attempt is killed while its engine generates.
+
+        The engine would continue to generate if the stream were not closed.
+        """
         attempt = self.attempt([[support.tokens(1), 3600.0, *OK]])
         thread = eventlet.spawn(attempt.run)
         clock.sleep(0.01)
--- a/tests/test_samples_commands.py
+++ b/tests/test_samples_commands.py
@@ -1,4 +1,4 @@
-"""What must hold for samples, on the state machine alone: tables of failures."""
+"""Invariants of samples on the state machine alone, as tables of failures."""
 
 import unittest
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class Recording(unittest.TestCase):
-    """One slot takes one attempt, of its present owner, that is fresh enough."""
+    """A slot accepts one attempt, of its current owner, that is within the bound."""
 
     @tools.params(
         ("the same record again", {}, None),
@@ -30,22 +30,23 @@
         self.assertEqual(machine.record("g0", 0, **changes), refusal, name)
         self.assertEqual(support.trace(machine, "g0", 0), before, name)
 
-    def test_record_after_its_group_is_done_is_dropped(self) -> None:
-        """The trainer has the sample; a second attempt ends long after.
+    def test_late_record_of_a_finished_group_is_refused(self) -> None:
+        """A second attempt ends long after the trainer received the sample.
 
-        The group was forgotten when the cursor moved past it, so nothing is left that
-        the late attempt could be put in.
+        The group was removed when the cursor moved past it, so there is no slot left
+        for the late attempt.
         """
         machine = support.ready_machine()
         machine.read(0)
         machine.read(2)
         self.assertEqual(machine.record("g0", 0, attempt=2), R.ATTEMPT_SUPERSEDED)
 
-    def test_record_given_up_does_not_come_back(self) -> None:
+    def test_discarded_record_is_not_restored(self) -> None:
         """A sample whose payload was lost is recorded again by a repeated command.
 
-        The recorder got no answer to its first command and sends it again after the
-        loss was reported. Taking it would bring the record back without its payload.
+        The recorder received no answer to its first command and sends it again after
+        the loss was reported. Accepting it would restore the record without its
+        payload.
         """
         machine = support.ready_machine()
         batch = machine.read(0)
@@ -55,6 +56,7 @@
         self.assertIsNone(machine.record("g0", 0, attempt=2))
 
     def test_record_older_than_the_bound_is_refused(self) -> None:
+        """Versions are published between the end of an attempt and its record."""
         machine = support.Machine()
         machine.renew("gw-1")
         machine.add("g0")
@@ -64,13 +66,13 @@
 
 
 class Groups(unittest.TestCase):
-    """A group that is asked for again is made once."""
+    """A group that is requested several times is generated once."""
 
-    def test_group_asked_for_again(self) -> None:
-        """The answer to the trainer's request was lost, and it asks again.
+    def test_repeated_group_request(self) -> None:
+        """The answer to the trainer's request was lost, and the trainer repeats it.
 
-        It does so at each point in the life of its group, the last one long after all
-        its samples were received.
+        It does so in each state of its group, the last time long after all its samples
+        were received. The group must not be generated again.
         """
         machine = support.Machine()
         machine.renew("gw-1")
@@ -104,33 +106,37 @@
 
 
 class Delivery(unittest.TestCase):
-    """Each sample at one position, the same batch for the same cursor."""
+    """Each sample has one position, and a cursor always returns the same batch."""
 
     def test_same_cursor_gives_the_same_batch(self) -> None:
-        """The answer to a batch request is lost; the trainer asks again and again.
+        """The answer to a batch request is lost, and the trainer retries several times.
 
-        Meanwhile more samples become ready and all processes restart. The batch must
-        not change until the cursor moves.
+        In the meantime more samples become ready and all processes restart. The batch
+        must not change until the cursor moves.
         """
         machine = support.ready_machine()
-        first = support.places(machine.read(0))
+        first = support.positions_of(machine.read(0))
         self.assertEqual(first, [(0, "g0", 0, 1), (1, "g0", 1, 1)])
         machine.add("g1", n_slots=1)
         machine.record("g1", 0)
         machine.restart()
         for n_samples in (1, 2, 3):
-            self.assertEqual(support.places(machine.read(0, n_samples)), first)
+            self.assertEqual(support.positions_of(machine.read(0, n_samples)), first)
 
     def test_batch_that_is_not_ready_assigns_nothing(self) -> None:
+        """A trainer requests more samples than are ready.
+
+        Positions assigned to a part of the batch would fix its size too early.
+        """
         machine = support.ready_machine()
         batch = machine.read(0, n_samples=3)
         self.assertEqual((batch.refusal, batch.n_assigned), (R.BATCH_NOT_READY, 0))
 
-    def test_groups_are_delivered_whole(self) -> None:
-        """A group of which one sample is missing does not hold up a whole one.
+    def test_groups_are_delivered_complete(self) -> None:
+        """A group with a missing sample does not block a complete group.
 
-        None of its samples is delivered before it is whole, and the samples of a group
-        follow one another.
+        None of its samples is delivered before it is complete, and the samples of a
+        group get consecutive positions.
         """
         machine = support.ready_machine()
         machine.read(0)
@@ -141,7 +147,7 @@
         self.assertEqual(machine.read(2, n_samples=1).refusal, R.BATCH_NOT_READY)
         machine.record("g2", 1)
         self.assertEqual(
-            support.places(machine.read(2)), [(2, "g2", 0, 1), (3, "g2", 1, 1)]
+            support.positions_of(machine.read(2)), [(2, "g2", 0, 1), (3, "g2", 1, 1)]
         )
         machine.record("g1", 1)
         batch = machine.read(4, n_samples=3)
@@ -152,15 +158,15 @@
         ("between", 1, 1, R.CURSOR_INVALID),
         ("above what was assigned", 3, 1, R.CURSOR_INVALID),
         ("older reader", 2, 1, R.READER_SUPERSEDED),
-        ("reader from the future", 2, 3, R.READER_SUPERSEDED),
+        ("reader epoch not given out yet", 2, 3, R.READER_SUPERSEDED),
     )
     def test_cursor_is_refused(
         self, name: str, cursor: int, epoch: int, refusal: reasons.Reason
     ) -> None:
-        """A trainer comes back with a cursor or an epoch of an earlier life.
+        """A trainer sends a cursor or an epoch from before its restart.
 
-        Positions below the acknowledged cursor are forgotten; it is told what is known
-        instead of being given other samples for them.
+        Positions below the acknowledged cursor are removed. The trainer gets a refusal
+        with the current cursors, and not other samples for the old positions.
         """
         machine = support.ready_machine()
         machine.read(0)
@@ -171,26 +177,30 @@
         self.assertEqual(batch.refusal, refusal, name)
         self.assertEqual((batch.acknowledged, batch.n_assigned), (2, 2), name)
 
-    def test_restarted_trainer_goes_on_at_the_acknowledged_cursor(self) -> None:
+    def test_restarted_trainer_resumes_at_the_acknowledged_cursor(self) -> None:
+        """A trainer restarts without having acknowledged its last batch.
+
+        The new reader must get the acknowledged cursor and the same batch there.
+        """
         machine = support.ready_machine()
         machine.add("g1")
         machine.record("g1", 0)
         machine.record("g1", 1)
         machine.read(0)
-        before = support.places(machine.read(2))
+        before = support.positions_of(machine.read(2))
         reader = machine.open_reader()
         self.assertEqual((reader.reader_epoch, reader.cursor), (2, 2))
-        self.assertEqual(support.places(machine.read(2, epoch=2)), before)
+        self.assertEqual(support.positions_of(machine.read(2, epoch=2)), before)
 
     def test_cursor_within_a_batch_acknowledges_a_part(self) -> None:
         machine = support.ready_machine()
         machine.read(0)
-        self.assertEqual(support.places(machine.read(1)), [(1, "g0", 1, 1)])
+        self.assertEqual(support.positions_of(machine.read(1)), [(1, "g0", 1, 1)])
 
-    def test_older_reader_moves_nothing(self) -> None:
-        """Two processes read for one trainer; the older one asks for the next batch.
+    def test_older_reader_does_not_move_the_cursor(self) -> None:
+        """Two processes read for one trainer; the older one requests the next batch.
 
-        Its cursor would acknowledge what the newer one has not received.
+        Its cursor would acknowledge samples that the newer one has not received.
         """
         machine = support.ready_machine()
         machine.read(0)
@@ -199,11 +209,11 @@
         self.assertEqual(len(machine.read(0, epoch=2).samples), 2)
 
     def test_lost_payload_gets_another_attempt_at_its_position(self) -> None:
-        """Both holders of a payload are gone before the trainer's cursor moved.
+        """Both holders of a payload are lost before the trainer's cursor moves.
 
-        The trainer may or may not have received the sample; it asks again, so another
-        attempt fills the same position, and a repeated report about the lost one does
-        not take away the new one.
+        The trainer may or may not have received the sample and requests it again.
+        Another attempt fills the same position, and a repeated report of the first loss
+        must not discard the new attempt.
         """
         machine = support.ready_machine()
         batch = machine.read(0)
@@ -213,10 +223,11 @@
         self.assertIsNone(machine.record("g0", 0, attempt=2))
         self.assertEqual(machine.apply(report).n_expired, 0)
         self.assertEqual(
-            support.places(machine.read(0)), [(0, "g0", 0, 2), (1, "g0", 1, 1)]
+            support.positions_of(machine.read(0)), [(0, "g0", 0, 2), (1, "g0", 1, 1)]
         )
 
     def test_late_report_of_a_loss_after_the_cursor_moved(self) -> None:
+        """A report of a lost payload arrives after its sample was acknowledged."""
         machine = support.ready_machine()
         batch = machine.read(0, n_samples=1)
         machine.read(1, n_samples=1)
@@ -225,9 +236,10 @@
 
 
 class Staleness(unittest.TestCase):
-    """No sample is delivered or delivered again beyond the bound in force."""
+    """No sample is delivered, first or again, beyond the bound in force."""
 
     def test_waiting_sample_that_becomes_too_old_is_not_assigned(self) -> None:
+        """Versions are published while samples wait for a position."""
         machine = support.ready_machine()
         machine.publish(3)
         batch = machine.read(0)
@@ -237,8 +249,8 @@
     def test_sample_too_old_at_redelivery_is_replaced_at_its_position(self) -> None:
         """The answer with a batch is lost, versions are published, the trainer retries.
 
-        One sample of the batch is past the bound by then. It gets another attempt at
-        the same position, whatever the trainer did with the first.
+        One sample of the batch exceeds the bound by then. It gets another attempt at
+        the same position, whether or not the trainer received the first.
         """
         machine = support.Machine()
         machine.renew("gw-1")
@@ -252,10 +264,13 @@
         self.assertEqual(machine.read(0).refusal, R.BATCH_NOT_READY)
         self.assertIsNone(machine.record("g0", 0, attempt=2, version=3))
         batch = machine.read(0)
-        self.assertEqual(support.places(batch), [(0, "g0", 0, 2), (1, "g0", 1, 1)])
+        self.assertEqual(
+            support.positions_of(batch), [(0, "g0", 0, 2), (1, "g0", 1, 1)]
+        )
         self.assertEqual([each.staleness for each in batch.samples], [0, 2])
 
     def test_oldest_segment_counts(self) -> None:
+        """A swap in mid-stream leaves a sample with one segment beyond the bound."""
         machine = support.Machine()
         machine.renew("gw-1")
         machine.add("g0", n_slots=1)
@@ -276,13 +291,13 @@
             ),
         ),
     )
-    def test_tightened_bound_holds_for_samples_already_made(
+    def test_tightened_bound_applies_to_existing_samples(
         self, name: str, act: Callable[[support.Machine, model.Rule], Any]
     ) -> None:
         """A bundle with a tighter bound is rolled while samples wait.
 
-        A gateway that has not heard of it comes next with the older bound, which must
-        not come back.
+        The next command comes from a gateway that has not received the bundle and
+        carries the older bound, which must not be restored.
         """
         machine = support.ready_machine()
         machine.publish(1)
@@ -291,8 +306,11 @@
         self.assertEqual(act(machine, model.Rule(2, 0)).n_expired, 2)
         self.assertEqual(machine.record("g0", 0, attempt=2), R.SAMPLE_STALE)
 
-    def test_sample_in_the_trainers_hands_is_not_made_again(self) -> None:
-        """The trainer trains on a batch and publishes; its cursor has not moved yet."""
+    def test_received_sample_is_not_regenerated(self) -> None:
+        """The trainer trains on a batch and publishes before its cursor has moved.
+
+        The samples exceed the bound by then, but the trainer has received them.
+        """
         machine = support.ready_machine()
         machine.read(0)
         machine.publish(9)
@@ -301,7 +319,7 @@
         self.assertEqual(machine.read(2).n_expired, 0)
 
     def test_last_check_sees_what_changed_since_the_assignment(self) -> None:
-        """A batch is assigned; before its first byte goes out something happens."""
+        """A batch is assigned, and the state changes before its first byte is sent."""
         changes: list[tuple[str, Callable[[support.Machine], Any]]] = [
             ("published", lambda machine: machine.publish(3)),
             ("another reader", lambda machine: machine.open_reader()),
--- a/tests/test_samples_delivery.py
+++ b/tests/test_samples_delivery.py
@@ -13,12 +13,12 @@
 
 R = reasons.Reason
 ZONES = ("Surquillo", "Callao", "Ate")
-# Long enough for a busy machine; tests don't wait for it.
-PATIENCE = 30.0
+# Long enough for a busy machine; a passing test does not wait that long.
+TIMEOUT_SECONDS = 30.0
 
 
 class Gateway:
-    """One gateway's sample service; all of a `Site` share the state group."""
+    """The sample service of one gateway; all of a `Site` share the state group."""
 
     def __init__(self, site: "Site", number: int, incarnation: int = 1) -> None:
         self.process_id = f"gw-{number}"
@@ -50,13 +50,17 @@
         self.service.start()
 
     def crash(self) -> None:
-        """End without handing anything on, as a killed process does."""
-        self.state.is_cut = True
+        """Stop without releasing the groups, as a killed process does."""
+        self.state.is_unreachable = True
         self.service.stop()
         self.transport.stop()
 
     def read(
-        self, cursor: int, wait: float = PATIENCE, epoch: int = 1, n_samples: int = 4
+        self,
+        cursor: int,
+        wait: float = TIMEOUT_SECONDS,
+        epoch: int = 1,
+        n_samples: int = 4,
     ) -> delivery.Answer:
         return self.service.read_batch(
             delivery.BatchRequest(support.TRAINER, epoch, cursor, n_samples, wait)
@@ -85,7 +89,7 @@
         return sorted(section.of(self.machine.state).owners_by_id)
 
     def wait_for(self, condition: Callable[[], bool]) -> None:
-        with eventlet.Timeout(PATIENCE):
+        with eventlet.Timeout(TIMEOUT_SECONDS):
             while not condition():
                 clock.sleep(0.01)
 
@@ -138,10 +142,10 @@
 
     @tools.params("refused", "lost")
     def test_answers_of_the_state_group_are_lost(self, fault: str) -> None:
-        """Any one answer on the way of a batch is lost; the trainer asks again.
+        """An answer of the state group to a batch request is lost; the trainer retries.
 
-        Whether the command was applied or not, the second answer is the one that the
-        trainer would have had.
+        Whether or not the command was applied, the retry returns the batch that the
+        first request would have returned.
         """
         self.add("g0", "g1", "g2", "g3")
         expected = unwrap(self.first.read(0))
@@ -159,15 +163,20 @@
                 self.assertEqual(unwrap(self.third.read(cursor)), expected)
 
     def test_one_holder_is_lost(self) -> None:
+        """One holder of some payloads crashes before the trainer reads the batch again.
+
+        The other holder has the copies, so the batch must stay the same.
+        """
         self.add("g0", "g1")
         before = unwrap(self.first.read(0))
         self.second.crash()
         self.assertEqual(unwrap(self.third.read(0)), before)
 
     def test_both_holders_are_lost(self) -> None:
-        """All holders of some payloads die before the trainer's cursor has moved.
+        """All holders of some payloads crash before the trainer's cursor has moved.
 
-        Its samples keep their positions and get other attempts; the others stay.
+        The samples of these payloads keep their positions and get other attempts; the
+        other samples stay.
         """
         self.add("g0", "g1")
         before = unwrap(self.first.read(0))
@@ -181,6 +190,10 @@
                 self.assertNotEqual(new.record, old.record)
 
     def test_payload_that_is_not_the_recorded_one_is_not_delivered(self) -> None:
+        """Holders return payloads that differ from the recorded ones.
+
+        They would be delivered with the segments and scores of other texts.
+        """
         self.add("g0", "g1")
         before = unwrap(self.first.read(0))
         other = model.Payload("other", (9,))
@@ -197,8 +210,8 @@
     ) -> None:
         """The batch is assigned, then versions are published, then payloads arrive.
 
-        Handing it out would deliver samples beyond the bound that was in force when
-        the first byte left, or tell a staleness that it no longer has.
+        Without a check after the fetch, samples could be delivered beyond the bound in
+        force, or with a staleness that is too low.
         """
         self.add("g0", "g1")
         unwrap(self.first.read(0))
@@ -223,9 +236,10 @@
         self.assertEqual(ages, {staleness})
 
     def test_gateway_is_frozen_after_the_last_check(self) -> None:
-        """A gateway stops for a while with a checked batch in hand.
+        """A gateway is suspended after the last check of a batch.
 
-        It must not hand out what may have become too old meanwhile.
+        Samples of the batch may have become too stale when it continues, so the check
+        must be repeated.
         """
         self.add("g0", "g1")
         unwrap(self.first.read(0))
@@ -243,7 +257,7 @@
         self.assertEqual(delivered.batch.weight_version, 1)
         self.assertGreater(n_checks, 1)
 
-    def test_trainer_that_waits_gets_its_batch_when_it_is_whole(self) -> None:
+    def test_waiting_trainer_gets_its_batch_when_it_is_complete(self) -> None:
         answers: list[delivery.Answer] = []
         reader = eventlet.spawn(lambda: answers.append(self.second.read(0)))
         clock.sleep(0.05)
@@ -252,18 +266,23 @@
         reader.wait()
         self.assertEqual(len(unwrap(answers[0]).payloads), 4)
 
-    def test_trainer_that_asks_too_early_is_told_when_to_come_back(self) -> None:
+    def test_early_request_is_refused_with_a_retry_time(self) -> None:
+        """A trainer requests a batch without waiting, before any sample is ready."""
         problem = self.first.read(0, wait=0.0).unwrap_err()
         self.assertEqual((problem.status, problem.reason), (503, R.BATCH_NOT_READY))
         self.assertGreater(problem.retry_after_seconds, 0)
 
 
 class Owners(SiteTestCase):
-    """The owner of a group dies or freezes; the group goes on at another gateway."""
+    """The owner of a group crashes or freezes; another gateway continues the group."""
 
     script = [support.tokens(1), 0.2, support.tokens(2), support.finished()]
 
-    def test_owner_is_killed_while_it_makes_samples(self) -> None:
+    def test_owner_is_killed_while_it_generates_samples(self) -> None:
+        """The owner of some groups is killed while its engines generate.
+
+        Other gateways must take over its groups, or their slots would stay empty.
+        """
         self.add("g0", "g1")
         clock.sleep(0.1)
         self.first.crash()
@@ -271,24 +290,25 @@
         self.assertEqual(sorted(ids(delivered)), ["g0/0", "g0/1", "g1/0", "g1/1"])
         self.assertEqual(self.site.owners(), ["gw-2", "gw-3"])
 
-    def test_owner_is_cut_off_and_comes_back(self) -> None:
-        """An owner loses the state group past its lease, then reaches it again.
+    def test_owner_is_partitioned_and_reconnects(self) -> None:
+        """An owner is cut off past its lease and then reaches the state group again.
 
-        Its groups went to others under a higher epoch; what it made meanwhile is
-        refused, and each slot has one sample.
+        Its groups were reassigned under a higher epoch. What it generated in the
+        meantime is refused, and each slot has one sample.
         """
         self.add("g0", "g1")
-        self.first.state.is_cut = True
+        self.first.state.is_unreachable = True
         self.site.wait_for(lambda: "gw-1" not in self.site.owners())
-        self.first.state.is_cut = False
+        self.first.state.is_unreachable = False
         delivered = unwrap(self.first.read(0))
         self.assertEqual(sorted(ids(delivered)), ["g0/0", "g0/1", "g1/0", "g1/1"])
         self.assertEqual(ids(unwrap(self.second.read(0))), ids(delivered))
 
-    def test_owner_that_is_cut_off_stops_its_attempts(self) -> None:
-        """An owner can't renew its lease while its engines stream on.
+    def test_partitioned_owner_stops_its_attempts(self) -> None:
+        """An owner can't renew its lease while its engines continue to stream.
 
-        Another gateway has the samples made by then; engines would work for nothing.
+        Another gateway has the samples generated, so the output of these engines would
+        be useless.
         """
         slow = [support.tokens(1), 3600.0, support.finished()]
         for gateway in self.site.gateways:
@@ -296,14 +316,14 @@
         self.add("g0", "g1", "g2")
         dispatcher = self.first.dispatcher
         self.site.wait_for(lambda: len(dispatcher.calls) == 2)
-        self.first.state.is_cut = True
+        self.first.state.is_unreachable = True
         self.site.wait_for(lambda: dispatcher.n_closed == 2)
 
     def test_attempts_outlive_a_short_outage_of_the_state_group(self) -> None:
         """No gateway reaches the state group for longer than the owners' lease.
 
-        The groups are still their owners'; the samples that were being made are used,
-        and no engine generates any of them a second time.
+        The groups still belong to their owners. The samples being generated are used,
+        and no engine generates one of them a second time.
         """
         for gateway in self.site.gateways:
             pauses = [support.tokens(1), 1.5, support.tokens(2), support.finished()]
@@ -311,22 +331,26 @@
         self.add("g0", "g1")
         calls = [gateway.dispatcher.calls for gateway in self.site.gateways]
         self.site.wait_for(lambda: sum(map(len, calls)) == 4)
-        for is_cut in (True, False):
+        for is_unreachable in (True, False):
             for gateway in self.site.gateways:
-                gateway.state.is_cut = is_cut
-            clock.sleep(1.0 if is_cut else 0.0)
+                gateway.state.is_unreachable = is_unreachable
+            clock.sleep(1.0 if is_unreachable else 0.0)
         self.assertEqual(len(unwrap(self.first.read(0)).payloads), 4)
         self.assertEqual(sum(map(len, calls)), 4)
 
-    def test_gateway_that_stops_hands_its_groups_on_at_once(self) -> None:
+    def test_stopping_gateway_releases_its_groups_at_once(self) -> None:
+        """A gateway stops, and its groups would wait for the end of its lease."""
         self.add("g0", "g1")
         self.second.service.stop()
         self.assertNotIn("gw-2", self.site.owners())
         delivered = unwrap(self.third.read(0))
         self.assertEqual(sorted(ids(delivered)), ["g0/0", "g0/1", "g1/0", "g1/1"])
 
-    def test_trainer_gets_every_sample_once_while_owners_come_and_go(self) -> None:
-        """Owners are killed one after the other, twice, while a trainer reads on."""
+    def test_trainer_gets_every_sample_once_while_owners_restart(self) -> None:
+        """Two owners crash in turn and restart while a trainer reads.
+
+        A sample could be lost with its owner or be delivered by two.
+        """
         received: list[str] = []
         cursor = 0
         for step in range(4):
@@ -342,16 +366,19 @@
 
 
 class Stop(unittest.TestCase):
-    """A gateway that is told to stop while its attempts run."""
+    """A gateway is stopped while its attempts run."""
 
-    def test_stop_that_was_itself_broken_off(self) -> None:
-        """Engines generate for a gateway that has stopped, until its process ends.
+    def test_interrupted_stop_can_be_repeated(self) -> None:
+        """A stop that was interrupted leaves attempts running, and the next finds none.
 
-        Its schedule is emptied first, then the attempts are stopped one by one, and
-        each of these steps lets other tasks run. A stop that is broken off there, and
-        asked for once more, found an empty schedule and nothing to stop.
+        The schedule is emptied first, then the attempts are stopped one by one, and
+        each of these steps lets other tasks run. If the stop is interrupted there and
+        called again, the schedule is empty. If `stop` relied on the schedule, engines
+        would generate for the stopped gateway until its process ends.
         """
-        site = Site([support.tokens(1), PATIENCE, support.finished()], n_gateways=1)
+        site = Site(
+            [support.tokens(1), TIMEOUT_SECONDS, support.finished()], n_gateways=1
+        )
         self.addCleanup(site.stop)
         gateway = site.gateways[0]
         gateway.service.open_reader(support.TRAINER)
@@ -359,7 +386,7 @@
         gateway.service.add_groups(support.TRAINER, groups).unwrap()
         site.wait_for(lambda: len(gateway.dispatcher.calls) == 4)
         first = eventlet.spawn(gateway.service.stop)
-        with eventlet.Timeout(PATIENCE):
+        with eventlet.Timeout(TIMEOUT_SECONDS):
             while not gateway.dispatcher.n_closed:
                 eventlet.sleep(0)
         first.kill()
--- a/tests/test_samples_invariants.py
+++ b/tests/test_samples_invariants.py
@@ -16,21 +16,22 @@
 
 
 class Samples(stateful.RuleBasedStateMachine):
-    """A trainer, owners that come and go, late and repeated records, lost answers."""
+    """A trainer, changing owners, late and repeated records, lost answers."""
 
     def __init__(self) -> None:
         super().__init__()
         self.machine = support.Machine()
         self.rule = support.RULE
         self.version = 0
-        # What the trainer knows: its cursor, and the batch it was given there.
+        # The trainer's view: its reader epoch, its cursor and the batch it received
+        # there.
         self.epoch = 0
         self.cursor = 0
         self.batch: commands.Batch | None = None
         self.samples_by_position: dict[int, model.SlotRef] = {}
         self.received: list[model.SlotRef] = []
         self.incarnations = dict.fromkeys(GATEWAYS, 1)
-        # Attempts whose records were sent, to be sent again late.
+        # Records that were sent, to be sent again late.
         self.sent: list[commands.SlotRecord] = []
         self.given_up: set[tuple[str, int, int, int]] = set()
 
@@ -125,7 +126,7 @@
         reader = self.machine.open_reader()
         assert reader.reader_epoch > self.epoch
         self.epoch = reader.reader_epoch
-        # A trainer that has lost its cursor goes on where it is told to.
+        # A trainer that has lost its cursor continues at the one in the answer.
         assert reader.cursor <= self.cursor
         if reader.cursor < self.cursor:
             self.received = self.received[: reader.cursor]
@@ -170,7 +171,7 @@
         for i, sample in enumerate(batch.samples):
             assert sample.position == self.cursor + i
             ref = model.SlotRef(sample.group_id, sample.slot)
-            # Once a position names a sample, it names that sample for ever.
+            # Once a position refers to a sample, it always refers to that sample.
             assert self.samples_by_position.setdefault(sample.position, ref) == ref
             age = staleness.staleness(newest, sample.record.oldest_version())
             assert sample.staleness == age <= self.rule.staleness_bound
@@ -179,7 +180,7 @@
         for sample in batch.samples:
             self.received.append(model.SlotRef(sample.group_id, sample.slot))
         self.cursor = batch.n_assigned
-        # Exactly once: no sample at two positions.
+        # Each sample is received exactly once: none has two positions.
         assert len(set(self.received)) == len(self.received) == self.cursor
 
     @stateful.invariant()
@@ -234,7 +235,7 @@
                 n_by_owner[group.owner] += len(group.slots) - group.n_acknowledged
         for owner in samples.owners_by_id.values():
             assert owner.n_slots == n_by_owner[owner.process_id]
-        assert ownership.pick(samples) in {"", *samples.owners_by_id}
+        assert ownership.choose_owner(samples) in {"", *samples.owners_by_id}
 
 
 Samples.TestCase.settings = schedules_support.of_machine(n_schedules=150, n_steps=60)
--- a/tests/test_samples_owners.py
+++ b/tests/test_samples_owners.py
@@ -1,4 +1,4 @@
-"""Owners, traces, restored states and payload records, on the state machine alone."""
+"""Owners, traces, restored states and payload records on the state machine alone."""
 
 import unittest
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 
 
 class Ownership(unittest.TestCase):
-    """A group is driven by one gateway under an epoch."""
+    """A group has one owner at a time, under an epoch."""
 
     def machine(self) -> support.Machine:
         machine = support.Machine()
@@ -34,10 +34,10 @@
         self.assertEqual(sizes, [2, 2, 2])
 
     def test_group_is_taken_over_and_the_earlier_owner_refused(self) -> None:
-        """An owner is frozen past its lease, wakes up and records its sample.
+        """An owner is suspended until its lease expires, and then records its sample.
 
-        Another gateway drives the group by then; what the first one made under the
-        older epoch must not get into a slot.
+        Another gateway owns the group by then. What the first one generated under the
+        older epoch must not fill a slot.
         """
         machine = self.machine()
         machine.add("g0")
@@ -50,10 +50,10 @@
         self.assertIsNone(machine.record("g0", 0, epoch=2))
         self.assertEqual(self.work(machine, "gw-1"), {})
 
-    def test_restarted_owner_is_another_life(self) -> None:
-        """A gateway restarts within its lease; its attempts and payloads are gone.
+    def test_restarted_owner_is_a_new_incarnation(self) -> None:
+        """A gateway restarts within its lease; its attempts and payloads are lost.
 
-        Records of its earlier life may still be on their way.
+        Records of its earlier incarnation may still be in transit.
         """
         machine = self.machine()
         machine.add("g0", n_slots=3)
@@ -65,10 +65,10 @@
         self.assertEqual(states, ["wanted", "ready", "wanted"])
         self.assertFalse(machine.renew("gw-1", incarnation=1).is_current)
 
-    def test_state_group_was_out(self) -> None:
-        """No leader for longer than a lease; then one owner renews before the others.
+    def test_state_group_outage_keeps_owners(self) -> None:
+        """There is no leader for longer than a lease; one owner then renews first.
 
-        Nobody could renew, so nobody has lost its groups or its payloads.
+        No owner could renew during that time, so none must lose its groups or payloads.
         """
         machine = self.machine()
         machine.add("g0")
@@ -78,7 +78,8 @@
         self.assertEqual(support.trace(machine, "g0", 0).state, queries.STATE_READY)
         self.assertIsNone(machine.record("g0", 1))
 
-    def test_owner_that_leaves_hands_its_groups_on(self) -> None:
+    def test_leaving_owner_releases_its_groups(self) -> None:
+        """An owner leaves; its groups are reassigned and its payloads remain."""
         machine = self.machine()
         machine.add("g0")
         machine.record("g0", 0)
@@ -86,11 +87,12 @@
         self.assertEqual(self.work(machine, "gw-2"), {"g0": 2})
         self.assertEqual(support.trace(machine, "g0", 0).state, queries.STATE_READY)
 
-    def test_owner_that_comes_back_learns_of_its_groups(self) -> None:
-        """An owner loses its groups; the answer to its next renewal is lost.
+    def test_returning_owner_receives_its_groups(self) -> None:
+        """An owner loses its groups, and the answer to its next renewal is lost.
 
-        It still knows a revision of the time before. Met again, that number would mean
-        that nothing has changed, and nobody would ever make the samples it got since.
+        It still knows the revision from before. If it got that revision again, the
+        answer would mean that nothing has changed, and the samples of the groups
+        assigned to it since would never be generated.
         """
         machine = self.machine()
         machine.add("g0")
@@ -101,11 +103,12 @@
         self.assertIsNotNone(machine.renew("gw-1", revision=known).work)
 
     def test_group_without_an_owner_waits_for_one(self) -> None:
+        """A group is added before any gateway has renewed as an owner."""
         machine = support.Machine()
         machine.add("g0")
         self.assertEqual(self.work(machine, "gw-1"), {"g0": 2})
 
-    def test_work_comes_once_per_change(self) -> None:
+    def test_work_list_is_sent_once_per_change(self) -> None:
         machine = self.machine()
         machine.add("g0")
         renewed = machine.renew("gw-1")
@@ -120,7 +123,7 @@
 
 
 class Traces(unittest.TestCase):
-    """A sample can be traced through its whole life, after every restart."""
+    """A sample can be traced in each of its states, after every restart."""
 
     def test_trace(self) -> None:
         machine = support.Machine()
@@ -144,6 +147,7 @@
         self.assertEqual(found.record.segments, (model.Segment(0, 0, 1),))
 
     def test_history_is_bounded(self) -> None:
+        """The traces of acknowledged samples would fill the state if all were kept."""
         machine = support.Machine()
         machine.renew("gw-1")
         machine.open_reader()
@@ -160,10 +164,10 @@
 
 
 class Restored(unittest.TestCase):
-    """A back-up of the state is restored."""
+    """A backup of the state is restored."""
 
-    def test_what_was_received_since_is_not_delivered_again(self) -> None:
-        """A back-up is made, the trainer reads on, and the back-up is restored."""
+    def test_samples_received_after_the_backup_are_not_redelivered(self) -> None:
+        """A backup is made, the trainer reads on, and the backup is restored."""
         machine = support.ready_machine()
         old = codec.decode(codec.encode(section.of(machine.state)))
         machine.read(0)
@@ -174,8 +178,11 @@
         self.assertEqual(machine.read(0).refusal, R.CURSOR_INVALID)
         self.assertEqual(machine.add("g0").n_known, 1)
 
-    def test_new_state_group_refuses_what_comes_from_the_old_one(self) -> None:
-        """A state group is made anew from a back-up; its owners and readers live on."""
+    def test_new_state_group_refuses_earlier_owners_and_readers(self) -> None:
+        """A state group is created from a backup; its former owners are running.
+
+        So are its readers. What they know is newer than the backup.
+        """
         machine = support.ready_machine()
         machine.add("g1")
         old = codec.decode(codec.encode(section.of(machine.state)))
@@ -202,7 +209,9 @@
         ]
         for name, step, is_needed in steps:
             step()
-            unneeded = machine.answer(queries.ListUnneeded((key, "outage/g0/1#1.9")))
+            unneeded = machine.answer(
+                queries.ListUnusedPayloads((key, "outage/g0/1#1.9"))
+            )
             with self.subTest(name):
                 self.assertIn("outage/g0/1#1.9", unneeded.keys)
                 self.assertEqual(key not in unneeded.keys, is_needed)
--- a/tests/test_samples_provenance.py
+++ b/tests/test_samples_provenance.py
@@ -1,4 +1,4 @@
-"""Segments come from the stream's own reports, or there is no sample."""
+"""Segments come from the stream's reports; without them there is no sample."""
 
 import unittest
 
@@ -15,14 +15,14 @@
 Event = request_model.Tokens
 
 
-def trail_of(events: list[Event]) -> provenance.Trail:
-    trail = provenance.Trail()
+def output_of(events: list[Event]) -> provenance.PartialOutput:
+    output = provenance.PartialOutput()
     for event in events:
-        trail.add(event)
-    return trail
+        output.add(event)
+    return output
 
 
-class Trail(unittest.TestCase):
+class PartialOutput(unittest.TestCase):
     @tools.params(
         ("one version", [support.tokens(1), support.tokens(2, 3)], [(0, 0, 2)]),
         (
@@ -45,7 +45,7 @@
     def test_traceable(
         self, name: str, events: list[Event], segments: list[tuple[int, int, int]]
     ) -> None:
-        found = trail_of(events).finish(support.finished(), 64)
+        found = output_of(events).finish(support.finished(), 64)
         self.assertEqual(found.unwrap(), tuple(Segment(*each) for each in segments))
 
     @tools.params(
@@ -68,10 +68,10 @@
     def test_untraceable(self, name: str, events: list[Event], finish: str) -> None:
         """An engine's stream leaves out a version or tokens, or repeats some.
 
-        Segments for it would name a version that nobody reported, so the attempt is
-        counted and made again instead.
+        Its segments would contain a version that was not reported, so the attempt fails
+        and is retried.
         """
-        found = trail_of(events).finish(support.finished(finish), 4)
+        found = output_of(events).finish(support.finished(finish), 4)
         self.assertEqual(found.err(), reasons.Reason.SAMPLE_UNTRACEABLE, name)
 
     @hypothesis.settings(derandomize=True, deadline=None)
@@ -82,16 +82,16 @@
         self, runs: list[tuple[int, int]]
     ) -> None:
         events = [support.tokens(*range(n), version=version) for version, n in runs]
-        trail = trail_of(events)
+        output = output_of(events)
         reported = [version for version, n in runs for _ in range(n)]
         named = [
             segment.weight_version
-            for segment in trail.segments
+            for segment in output.segments
             for _ in range(segment.first_token, segment.last_token + 1)
         ]
         self.assertEqual(named, reported)
         self.assertEqual(
-            provenance.covers(trail.segments, len(reported)), bool(reported)
+            provenance.covers(output.segments, len(reported)), bool(reported)
         )
 
     @tools.params(
--- a/tests/test_samples_scheduling.py
+++ b/tests/test_samples_scheduling.py
@@ -55,24 +55,28 @@
         trainers = [each[0] for each in self.starts(pool=pool)]
         self.assertEqual((trainers.count("a"), trainers.count("b")), (6, 2))
 
-    def test_capacity_that_one_trainer_leaves_goes_to_the_other(self) -> None:
+    def test_unused_capacity_goes_to_the_other_trainer(self) -> None:
         self.schedule.update(1, (work("g", 9),))
         self.assertEqual(len(self.starts()), 4)
         self.schedule.update(2, (work("g", 9), work("h", 9, trainer="b")))
         self.assertEqual(self.starts(), [])
         key = scheduling.Key("a", "g", 0, 1)
-        self.schedule.generated(key, 1)
-        # The newcomer is the one with the least for its share.
+        self.schedule.mark_generated(key, 1)
+        # The second trainer has the fewest attempts relative to its share.
         self.assertEqual(self.starts(), ["b/h/0.1"])
 
-    def test_failed_attempt_is_made_again_after_a_pause_that_grows(self) -> None:
+    def test_failed_attempt_is_retried_with_growing_backoff(self) -> None:
+        """A slot's attempts fail again and again.
+
+        Retries without a growing backoff would keep the engines busy with failures.
+        """
         self.schedule.update(1, (work("g", 1),))
         key = scheduling.Key("a", "g", 0, 1)
         now = 0.0
         pauses = []
         for attempt in range(1, 9):
             self.assertEqual(self.starts(now), [f"a/g/0.{attempt}"])
-            self.schedule.failed(now, key, attempt)
+            self.schedule.record_failure(now, key, attempt)
             self.assertEqual(self.starts(now), [])
             not_before = self.schedule.wanted_by_key[key].not_before
             pauses.append(round(not_before - now, 3))
@@ -81,13 +85,13 @@
         self.assertEqual(pauses[-1], 2.0)
 
     def test_attempt_numbers_are_not_used_twice_after_an_outage(self) -> None:
-        """A sample is made and recorded, and its payload is lost.
+        """An attempt number is used again after an outage, and a payload is lost.
 
-        The state group is out for long, and the owner stops its attempts; the record of
-        one is still waiting to be committed. After the outage the owner has the same
-        groups under the same epoch, and begins with attempt 1 again: its payload takes
-        the place of the recorded one, which has the same name, is refused as
-        superseded, and dropped.
+        The state group is unavailable for long, and the owner stops its attempts while
+        the record of one still waits to be committed. After the outage the owner has
+        the same groups under the same epoch. If it started with attempt 1 again, the
+        payload of the new attempt would replace the recorded one, which has the same
+        key, and would then be dropped because its own record is refused as superseded.
         """
         given = (work("g", 1),)
         self.schedule.update(1, given)
@@ -102,13 +106,12 @@
         self.assertEqual(self.starts(), ["a/g/0.1"])
 
     @tools.params("outage", "recorded")
-    def test_nothing_is_kept_of_slots_that_are_not_wanted(self, name: str) -> None:
-        """An owner runs for weeks; its memory, and each list's time, grow.
+    def test_data_of_unwanted_slots_is_removed(self, name: str) -> None:
+        """An owner runs for weeks, and its memory and the time to apply a list grow.
 
-        Of each slot that was given up in an outage, or that got its sample, something
-        is kept until a later list: the highest number of an attempt, or the index of
-        the record. Once that list is there nothing asks for it any more, and the slot
-        never comes back.
+        Of each slot that was dropped in an outage or that got its sample, some data is
+        kept until a later list: the highest attempt number, or the index of the record.
+        After that list the slot is not wanted again, so the data must be removed.
         """
         for index in range(1, 4):
             group_id = f"g{index}"
@@ -119,15 +122,15 @@
             else:
                 for slot in range(3):
                     key = scheduling.Key("a", group_id, slot, 1)
-                    self.schedule.recorded(10 * index + 1, key, 1)
+                    self.schedule.mark_recorded(10 * index + 1, key, 1)
             self.schedule.update(10 * index + 2, ())
             left = attrs.evolve(self.schedule, n_started=0)
             self.assertEqual(left, scheduling.Schedule())
 
     def test_attempts_of_a_lost_group_are_stopped(self) -> None:
-        """Another gateway took a group over; its slots leave the list or change epoch.
+        """Another gateway took over a group; its slots leave the list or change epoch.
 
-        Attempts under the older epoch would be refused when they end.
+        Records of attempts under the older epoch would be refused.
         """
         for name, later in (("gone", ()), ("epoch", (work("g", 1, epoch=2),))):
             with self.subTest(name):
@@ -141,31 +144,31 @@
     def test_recorded_slot_is_not_started_from_an_older_list(self) -> None:
         """A list of wanted slots was read before a record and arrives after it.
 
-        The slot has its sample; another attempt would be work for nothing.
+        The slot has its sample, so another attempt would be useless.
         """
         self.schedule.update(1, (work("g", 1),))
         self.starts()
-        self.schedule.recorded(5, scheduling.Key("a", "g", 0, 1), 1)
+        self.schedule.mark_recorded(5, scheduling.Key("a", "g", 0, 1), 1)
         self.schedule.update(4, (work("g", 1),))
         self.assertEqual(self.starts(), [])
-        # A list of a later state knows better: the sample was given up since.
+        # A list from a later state is correct: the sample was discarded since.
         self.schedule.update(6, (work("g", 1),))
         self.assertEqual(self.starts(), ["a/g/0.1"])
 
-    def test_late_news_of_a_stopped_attempt_changes_nothing(self) -> None:
+    def test_late_reports_of_a_stopped_attempt_change_nothing(self) -> None:
         self.schedule.update(1, (work("g", 1),))
         self.starts()
         key = scheduling.Key("a", "g", 0, 1)
         self.schedule.drop_all()
-        self.schedule.failed(0.0, key, 1)
-        self.schedule.progress(0.0, key, 1, "engine-1", 4)
-        self.schedule.generated(key, 1)
+        self.schedule.record_failure(0.0, key, 1)
+        self.schedule.record_progress(0.0, key, 1, "engine-1", 4)
+        self.schedule.mark_generated(key, 1)
         self.assertEqual(self.starts(), [])
         self.assertFalse(self.schedule.is_running(key, 1))
 
 
 class Stragglers(unittest.TestCase):
-    """The last slots of a step decide how long the trainer waits."""
+    """The last slots of a step determine how long the trainer waits."""
 
     def setUp(self) -> None:
         self.schedule = scheduling.Schedule(second_attempt_budget=0.5)
@@ -176,27 +179,27 @@
         for slot, n_tokens in ((0, 40), (1, 40), (2, 4), (3, 40)):
             for now, n in ((1.0, 1), (5.0, n_tokens)):
                 engine = f"e{slot}"
-                self.schedule.progress(now, self.keys[slot], 1, engine, n)
+                self.schedule.record_progress(now, self.keys[slot], 1, engine, n)
 
     def finish(self, *slots: int) -> None:
         for slot in slots:
-            self.schedule.generated(self.keys[slot], 1)
-            self.schedule.recorded(2, self.keys[slot], 1)
+            self.schedule.mark_generated(self.keys[slot], 1)
+            self.schedule.mark_recorded(2, self.keys[slot], 1)
 
-    def test_slow_attempt_gets_a_second_one_elsewhere(self) -> None:
-        """One engine is much slower than the others; its slot is the step's last.
+    def test_slow_attempt_gets_a_second_one_at_another_engine(self) -> None:
+        """One engine is much slower than the others, and its slot is the step's last.
 
-        The second attempt goes on from the tokens so far at another engine.
+        The second attempt resumes from the tokens generated so far at another engine.
         """
         self.finish(0, 1)
-        self.schedule.progress(5.0, self.keys[2], 1, "e2", 4)
+        self.schedule.record_progress(5.0, self.keys[2], 1, "e2", 4)
         self.schedule.update(1, (work("g", 4), work("h", 9, sequence=2)))
         started = self.schedule.starts(6.0, [self.pool])
-        (start,) = [each for each in started if each.goes_on_from]
+        (start,) = [each for each in started if each.resumes_attempt]
         self.assertEqual((start.key, start.attempt), (self.keys[2], 2))
         self.assertEqual(start.excluded_upstream_ids, {"e2"})
-        self.assertEqual(start.goes_on_from, 1)
-        cancels = self.schedule.recorded(3, self.keys[2], 2)
+        self.assertEqual(start.resumes_attempt, 1)
+        cancels = self.schedule.mark_recorded(3, self.keys[2], 2)
         self.assertEqual(cancels, [scheduling.Cancel(self.keys[2], 1)])
 
     def test_no_second_attempt(self) -> None:
@@ -209,22 +212,22 @@
                 self.setUp()
                 self.schedule.second_attempt_budget = budget
                 self.finish(*finished)
-                self.schedule.progress(5.0, self.keys[2], 1, "e2", 4)
+                self.schedule.record_progress(5.0, self.keys[2], 1, "e2", 4)
                 lists = (work("g", 4), work("h", 9, sequence=sequence))
                 self.schedule.update(1, lists)
                 seconds = [
                     each
                     for each in self.schedule.starts(6.0, [self.pool])
-                    if each.goes_on_from
+                    if each.resumes_attempt
                 ]
                 self.assertEqual(seconds, [])
 
-    def test_stalled_attempt_is_stopped_and_made_again(self) -> None:
-        """An engine holds a stream open and sends nothing more, for ever."""
+    def test_stalled_attempt_is_stopped_and_retried(self) -> None:
+        """An engine keeps a stream open and never sends anything more."""
         at = 5.0 + scheduling.STALL_SECONDS
-        self.assertEqual(self.schedule.stalled(at), [])
-        self.schedule.progress(at, self.keys[0], 1, "e0", 4)
-        cancels = self.schedule.stalled(at + 0.1)
+        self.assertEqual(self.schedule.cancel_stalled(at), [])
+        self.schedule.record_progress(at, self.keys[0], 1, "e0", 4)
+        cancels = self.schedule.cancel_stalled(at + 0.1)
         self.assertEqual(cancels, [scheduling.Cancel(key, 1) for key in self.keys[1:]])
         again = self.schedule.starts(at + 9.0, [self.pool])
         self.assertEqual([each.attempt for each in again], [2, 2, 2])
