--- a/bilberrydrum/samples/scheduling.py
+++ b/bilberrydrum/samples/scheduling.py
@@ -7,13 +7,13 @@
 thus started in succession and find the prefix of its prompt in the engine's cache.
 
 Stragglers: an attempt gets a second one at another engine if it generates tokens at
-less than `SLOW_SHARE` of the usual pace and no older group has slots that wait to be
-started. The second attempt resumes from the tokens generated so far, and the first of
-the two to finish is recorded. The number of second attempts is bounded by a budget. A
-second attempt does not wait for free capacity: there is none while the trainer has
-requested further groups, and that is usually the case when it waits for the slow slot.
-An attempt that has stopped generating tokens is cancelled and started again regardless
-of the budget, because its slot would block the trainer.
+less than `SLOW_SHARE` of the usual pace and no older group of its trainer has slots
+that wait to be started. The second attempt resumes from the tokens generated so far,
+and the first of the two to finish is recorded. The number of second attempts is bounded
+by a budget. A second attempt does not wait for free capacity: there is none while the
+trainer has requested further groups, and that is usually the case when it waits for the
+slow slot. An attempt that has stopped generating tokens is cancelled and started again
+regardless of the budget, because its slot would block the trainer.
 """
 
 from typing import Final
@@ -28,7 +28,7 @@
 MAX_BACKOFF_SECONDS: Final = 2.0
 # Share of the usual pace below which an attempt is slow.
 SLOW_SHARE: Final = 0.6
-# Number of tokens from which on an attempt's pace is known.
+# Number of tokens after which an attempt's pace is used.
 MIN_TOKENS: Final = 8
 # Time without a token after which an attempt is cancelled.
 STALL_SECONDS: Final = 20.0
--- a/tests/test_samples_delivery.py
+++ b/tests/test_samples_delivery.py
@@ -339,7 +339,10 @@
         self.assertEqual(sum(map(len, calls)), 4)
 
     def test_stopping_gateway_releases_its_groups_at_once(self) -> None:
-        """A gateway stops, and its groups would wait for the end of its lease."""
+        """A gateway stops while it owns groups.
+
+        If it did not release them, they would wait for its lease to expire.
+        """
         self.add("g0", "g1")
         self.second.service.stop()
         self.assertNotIn("gw-2", self.site.owners())
@@ -369,12 +372,12 @@
     """A gateway is stopped while its attempts run."""
 
     def test_interrupted_stop_can_be_repeated(self) -> None:
-        """A stop that was interrupted leaves attempts running, and the next finds none.
+        """A stop is interrupted while attempts run, and `stop` is called again.
 
         The schedule is emptied first, then the attempts are stopped one by one, and
-        each of these steps lets other tasks run. If the stop is interrupted there and
-        called again, the schedule is empty. If `stop` relied on the schedule, engines
-        would generate for the stopped gateway until its process ends.
+        each of these steps lets other tasks run. After an interruption there the
+        schedule is empty. If the second call relied on the schedule, engines would
+        generate for the stopped gateway until its process ends.
         """
         site = Site(
             [support.tokens(1), TIMEOUT_SECONDS, support.finished()], n_gateways=1
--- a/tests/test_samples_owners.py
+++ b/tests/test_samples_owners.py
@@ -179,9 +179,10 @@
         self.assertEqual(machine.add("g0").n_known, 1)
 
     def test_new_state_group_refuses_earlier_owners_and_readers(self) -> None:
-        """A state group is created from a backup; its former owners are running.
+        """A state group is created from a backup while its former owners run.
 
-        So are its readers. What they know is newer than the backup.
+        Their commands, and those of former readers, are based on a state that the
+        backup does not have, so they must be refused.
         """
         machine = support.ready_machine()
         machine.add("g1")
