--- a/tests/path_support.py
+++ b/tests/path_support.py
@@ -136,9 +136,9 @@
         max_tokens = 24
         gateway = gateway or self.gateways[0]
         trainer = f"/v1/trainers/{andes.TRAINER}"
-        account = samples.Account(andes.TRAINER)
+        account = samples.SampleLedger(andes.TRAINER)
         group = samples.Group(name, prompt, n_slots, max_tokens)
-        account.ask(group)
+        account.record_request(group)
 
         def post(path, value):
             return self.retry_until_answered(
@@ -178,7 +178,7 @@
 
         self.wait_for(is_complete, f"the samples of {name}")
         for sample in batches[-1]["samples"]:
-            account.take(sample, published_version=0)
+            account.check_sample(sample, published_version=0)
         type(self).cursor = batches[-1]["next_cursor"]
         # Reading from the next cursor acknowledges the batch.
         self.assertEqual("batch-not-ready", read(1, 0).json()["reason"])
