--- a/bilberrydrum/batches/service.py
+++ b/bilberrydrum/batches/service.py
@@ -19,7 +19,7 @@
 from bilberrydrum.fleet import subscriber
 from bilberrydrum.relay import crash_watch, relay
 from bilberrydrum.requests import attempts
-from bilberrydrum.state import leader_service, replica, tenure
+from bilberrydrum.state import fencing, leader_service, replica
 
 # Timeout in seconds for the commit of a change, after which the caller has to retry.
 COMMIT_SECONDS: Final = 2.0
@@ -65,7 +65,7 @@
         relay_: relay.Relay,
         crashes: crash_watch.CrashWatch,
         retention_seconds: float,
-        orders_tenure: tenure.Tenure,
+        orders_guard: fencing.FencingGuard,
     ) -> None:
         """Create the service; no task runs before `start`.
 
@@ -78,7 +78,7 @@
         retention_seconds : float
             Time in seconds for which a batch that has ended can be read, counted from
             its submission.
-        orders_tenure : tenure.Tenure
+        orders_guard : fencing.FencingGuard
             The right to send orders to engines.
         """
         self._replica = replica_
@@ -89,7 +89,7 @@
         self._relay = relay_
         self._crashes = crashes
         self._retention_seconds = retention_seconds
-        self._orders_tenure = orders_tenure
+        self._orders_guard = orders_guard
         self._service = leader_service.LeaderService(replica_, carrier)
         self._runner: runner.BatchRunner | None = None
         # Number of runners started so far.
@@ -175,7 +175,7 @@
                 batch_id, scores=(commands.Score(item_id, score),)
             ),
             save=self._save,
-            fencing_number=self._orders_tenure.take_number,
+            fencing_number=self._orders_guard.acquire_number,
             may_send=lambda: self._is_leading(term),
             holder=self._carrier.process_id,
         )
@@ -317,7 +317,7 @@
         # The batch may still be committed. If the answer said that it was not, the
         # gateway would refuse the batch with the promise that it never runs.
         is_unclear = proposed.err_value.may_have_applied
-        return leader_service.UNCLEAR if is_unclear else None
+        return leader_service.UNKNOWN_OUTCOME if is_unclear else None
 
     def _on_read(self, sender: transport.Sender, message: messages.Read) -> Any:
         deadline = clock.now() + message.wait_seconds
--- a/bilberrydrum/nodes/groups.py
+++ b/bilberrydrum/nodes/groups.py
@@ -96,7 +96,7 @@
     would otherwise restart and exit repeatedly.
     """
     failure = replica_.failure
-    if failure and replica_.waits_for_disk():
+    if failure and replica_.is_waiting_for_disk():
         return ""
     if failure == replica.REMOVED:
         replica_.discard()
--- a/bilberrydrum/usage/reporter.py
+++ b/bilberrydrum/usage/reporter.py
@@ -11,7 +11,7 @@
 
 from bilberrydrum import backoff, clock, counters, upstream_protocol
 from bilberrydrum.requests import single_calls
-from bilberrydrum.state import replica, tenure
+from bilberrydrum.state import fencing, replica
 from bilberrydrum.usage import cluster_clock, collector, commands, model
 
 # Interval at which windows are checked: a report is due only after seconds, and a check
@@ -73,7 +73,7 @@
         replica_: replica.Replica,
         protocol: ReportProtocol,
         holder: str,
-        reports_tenure: tenure.Tenure,
+        reports_guard: fencing.FencingGuard,
         call: Call,
     ) -> None:
         """Create the reporter; its tasks run from `start` on.
@@ -82,7 +82,7 @@
         ----------
         holder : str
             Name of this host, which the receiver gets with each report.
-        reports_tenure : tenure.Tenure
+        reports_guard : fencing.FencingGuard
             The right to report.
         call : callable
             Calls the receiver; its argument prepares the message. See
@@ -92,7 +92,7 @@
         self._replica = replica_
         self._protocol = protocol
         self._holder = holder
-        self._tenure = reports_tenure
+        self._guard = reports_guard
         self._call = call
         self._term = 0
         self._collector = collector.CountsCollector(options, 0.0)
@@ -235,17 +235,17 @@
         if not reply.is_withheld:
             counters.USAGE_REPORTS.labels(str(reply.status)).inc()
         if reply.status == _CONFLICT and numbers:
-            self._tenure.was_refused(numbers[0])
+            self._guard.record_refusal(numbers[0])
         if reply.status != _OK:
-            self._pause.failed(clock.now())
+            self._pause.record_failure(clock.now())
             return False
-        self._pause.succeeded()
+        self._pause.record_success()
         return True
 
     def _prepare(
         self, counts: model.WindowCounts, numbers: list[int]
     ) -> upstream_protocol.OrderMessage | None:
-        number = self._tenure.take_number()
+        number = self._guard.acquire_number()
         if number is None:
             return None
         numbers.append(number)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -181,7 +181,7 @@
         self.answers = list(answers)
         self.messages = []
 
-    def call(self, message, timeout, try_seconds=0.0, request_id=""):
+    def call(self, message, timeout, attempt_seconds=0.0, request_id=""):
         self.messages.append(message)
         return self.answers.pop(0)
 
