--- a/misc/measures/state_process.py
+++ b/misc/measures/state_process.py
@@ -70,9 +70,9 @@
 
     n_bytes = 0
 
-    def _take(self, data: bytes) -> None:
+    def _receive_frame(self, data: bytes) -> None:
         self.n_bytes += len(data)
-        super()._take(data)
+        super()._receive_frame(data)
 
     def report(self, path: pathlib.Path) -> None:
         written = path.with_suffix(".new")
--- a/tests/fakes/promise_group.py
+++ b/tests/fakes/promise_group.py
@@ -45,16 +45,16 @@
         self.leaving: set[str] = set()
         self._proposals: dict[int, object] = {}
         self._accepted: dict[tuple[str, int], tuple[int, object]] = {}
-        self._last_ticket = 1_000_000
+        self._last_proposal = 1_000_000
         self._n_made = 0
         super().__init__(n_hosts, seed)
 
     def submit(self, client: object, host: group_hosts.Host, number: int = 0) -> None:
         command = self._draw()
-        self._last_ticket += 1
-        self._proposals[self._last_ticket] = command
+        self._last_proposal += 1
+        self._proposals[self._last_proposal] = command
         item = (log.KIND_LOCAL, codec.encode(command))
-        self.take(host, events.Propose((item,), self.now, self._last_ticket))
+        self.step(host, events.Propose((item,), self.now, self._last_proposal))
 
     def _draw(self) -> object:
         self._n_made += 1
@@ -144,7 +144,7 @@
                 self._check_fleet(host)
 
     def _may_answer(self, host: group_hosts.Host) -> bool:
-        role = host.decisions.node.role
+        role = host.replica_core.node.role
         is_leader = isinstance(role, node.Leader) and self._has_lease(host)
         return is_leader and host.applied.index >= role.first_index
 
@@ -186,26 +186,26 @@
             "the policy version decreased"
         )
 
-    def tend(self) -> None:
+    def apply_due_change(self) -> None:
         """Make the change that a leader finds due to keep `n_voters` voters."""
         for host in self.leaders():
             due = self.due_change(host, self._policy(host))
             if due is None:
                 continue
-            replica_id = host.decisions.node.replica_id
+            replica_id = host.replica_core.node.replica_id
             if due.kind == "remove" and due.replica.replica_id == replica_id:
-                self.give_up(host)
+                self.transfer_leadership(host)
             else:
                 self.change(host, due)
 
     def _policy(self, host: group_hosts.Host) -> membership_planner.Policy:
-        role = host.decisions.node.role
+        role = host.replica_core.node.role
         assert isinstance(role, node.Leader)
         now = self.time_at(host)
         lost = frozenset(
             replica_id
             for replica_id, progress in role.progress_by_id.items()
-            if now - max(progress.heard_at, role.since) > LOST_SECONDS
+            if now - max(progress.last_contact_at, role.since) > LOST_SECONDS
         )
         return membership_planner.Policy(self.n_voters, lost, frozenset(self.leaving))
 
--- a/tests/test_promise_schedules.py
+++ b/tests/test_promise_schedules.py
@@ -26,7 +26,7 @@
     group = promise_group.PromiseGroup(3, seed, n_voters=3)
     group.add_host("h3")
     group.run(2.0)
-    group_faults.trouble(group, rng, N_FAULTS)
+    group_faults.inject_faults(group, rng, N_FAULTS)
     group.run(6.0)
     return group
 
@@ -69,7 +69,7 @@
                     each.process_id
                     for each in group.hosts_by_name[
                         "h1"
-                    ].decisions.node.members.replicas
+                    ].replica_core.node.members.replicas
                     if each.is_voter
                 }
                 if voters == {"h1", "h2", "h3"}:
--- a/tests/test_state_serving.py
+++ b/tests/test_state_serving.py
@@ -6,7 +6,7 @@
 from nose2 import tools
 
 from bilberrydrum import codec, options
-from bilberrydrum.state import applier, founding, messages, serving
+from bilberrydrum.state import applier, bootstrap, messages, serving
 from misc.measures import state_process
 
 
@@ -96,15 +96,15 @@
         self.assertEqual(outcomes, [None])
 
 
-class Founding(unittest.TestCase):
+class BootstrapTest(unittest.TestCase):
     """An empty host bootstraps a group only if all others are empty too."""
 
     MEMBERS = tuple(options.Member(each, f"at-{each}") for each in "abc")
 
-    def founding(
+    def bootstrap(
         self, process_id: str = "a", replica_id: str = "r1"
-    ) -> founding.Founding:
-        return founding.Founding(process_id, replica_id, "at-a", self.MEMBERS)
+    ) -> bootstrap.Bootstrap:
+        return bootstrap.Bootstrap(process_id, replica_id, "at-a", self.MEMBERS)
 
     @tools.params(
         ("all are empty", "a", {"b": True, "c": True}, True),
@@ -112,18 +112,18 @@
         ("one holds the group", "a", {"b": True, "c": False}, False),
         ("another is lower", "b", {"a": True, "c": True}, False),
     )
-    def test_founds(
-        self, name: str, process_id: str, empty: dict[str, bool], founds: bool
+    def test_bootstraps(
+        self, name: str, process_id: str, empty: dict[str, bool], bootstraps: bool
     ) -> None:
         """A host that lost its disk is restarted while one of the others is down.
 
         If it bootstrapped a group with the third, which is empty too, there would be
         two groups: the data of the first is still on the host that is down.
         """
-        found = self.founding(process_id)
+        found = self.bootstrap(process_id)
         for other, is_empty in empty.items():
-            found.heard(messages.ProbeReply(other, f"r-{other}", is_empty, "r1"))
-        self.assertEqual(found.first_membership() is not None, founds, name)
+            found.record_reply(messages.ProbeReply(other, f"r-{other}", is_empty, "r1"))
+        self.assertEqual(found.first_membership() is not None, bootstraps, name)
 
     def test_answer_to_an_earlier_replica_is_not_counted(self) -> None:
         """All were empty, a host bootstrapped the group, and then it lost its disk.
@@ -131,14 +131,14 @@
         An answer to a probe of its former replica arrives late and says "empty". If it
         counted, the host would bootstrap a second group.
         """
-        found = self.founding(replica_id="r2")
+        found = self.bootstrap(replica_id="r2")
         for other in "bc":
-            found.heard(messages.ProbeReply(other, f"r-{other}", True, "r1"))
+            found.record_reply(messages.ProbeReply(other, f"r-{other}", True, "r1"))
         self.assertIsNone(found.first_membership())
 
     def test_existing_group_is_remembered(self) -> None:
-        found = self.founding()
-        found.heard(messages.ProbeReply("b", "r-b", False, "r1"))
+        found = self.bootstrap()
+        found.record_reply(messages.ProbeReply("b", "r-b", False, "r1"))
         for other in "bc":
-            found.heard(messages.ProbeReply(other, f"r-{other}", True, "r1"))
+            found.record_reply(messages.ProbeReply(other, f"r-{other}", True, "r1"))
         self.assertIsNone(found.first_membership())
