--- a/misc/soaks/__init__.py
+++ b/misc/soaks/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: the platform's processes under drawn faults."""
+"""Soak test: the platform's processes under randomly drawn faults."""
--- a/misc/soaks/soak_faults.py
+++ b/misc/soaks/soak_faults.py
@@ -1,4 +1,4 @@
-"""Which faults a soak injects, and when: drawn from a seed."""
+"""The faults of a soak and their times, drawn from a seed."""
 
 import enum
 import random
@@ -9,29 +9,29 @@
 
 
 class Kind(enum.Enum):
-    """What is done to its target."""
+    """What a fault does to its target."""
 
-    # To processes.
+    # Faults of one process.
     KILL = "kill"
-    # Killed, with bytes at the end of its log that were never synced.
+    # Killed; garbage is appended to its log, as by a write that was never synced.
     TEAR = "tear"
-    # Killed, its disk lost.
+    # Killed; its data folder is deleted.
     WIPE = "wipe"
     TERMINATE = "terminate"
     PAUSE = "pause"
     HANGUP = "hangup"
     CLOCK = "clock"
-    # To all processes of a role, or to all there are.
+    # All processes of one role, or all processes, are killed.
     KILL_ROLE = "kill-role"
     KILL_ALL = "kill-all"
-    # To links.
+    # Faults of the links to a process or an upstream.
     DELAY = "delay"
     SILENCE = "silence"
     SILENCE_INWARD = "silence-inward"
     SILENCE_OUTWARD = "silence-outward"
     MUTE = "mute"
     RESET = "reset"
-    # To upstreams.
+    # Faults of an upstream.
     CRASH = "crash"
     SLOW = "slow"
     LEAVE = "leave"
@@ -53,15 +53,18 @@
     Kind.RESET,
 )
 UPSTREAM_KINDS: Final = (Kind.CRASH, Kind.SLOW, Kind.LEAVE)
-# Mean pause between two faults, in seconds: most faults last longer, so they overlap.
+# Mean pause between the starts of two faults, in seconds. Most faults last longer, so
+# that faults overlap.
 MEAN_PAUSE_SECONDS: Final = 0.8
-# Between two lost disks of one group: a group bears one, and the next one only when
-# the lost one's successor has caught up, which takes a start and a few elections.
+# Minimum time in seconds between two lost disks of one group. A group tolerates one
+# lost disk, and the next one only after the replacement has caught up, which takes a
+# process start and a few elections.
 WIPE_SECONDS: Final = 9.0
-# Stands for the process that runs the items when the fault begins, whichever it is.
+# Target name that stands for the store that leads, and so runs the items, when the
+# fault begins.
 LEADER: Final = "store-leader"
-# Mean pause between two faults of the leader, and what they are: a few a run, so that
-# most items that go on from what was kept go on to their end.
+# Mean pause between two faults of the leader, in seconds, and their kinds. There are
+# only a few per run, so that most items that resume from a saved text are completed.
 MEAN_LEADER_PAUSE_SECONDS: Final = 5.0
 LEADER_KINDS: Final = (Kind.KILL, Kind.PAUSE, Kind.SILENCE, Kind.KILL_ALL)
 _FIRST_SECONDS: Final = 0.5
@@ -79,7 +82,7 @@
 
 @attrs.frozen
 class Targets:
-    """Names that faults may be drawn for."""
+    """Names of the processes and upstreams that faults may be drawn for."""
 
     processes_by_role: dict[str, tuple[str, ...]]
     # Roles whose processes have a disk.
@@ -112,7 +115,8 @@
 
 
 def _draw_for_leader(seed: int, seconds: float) -> list[Fault]:
-    # Drawn apart: the other faults of a seed stay what they were.
+    # A separate generator: the other faults of a seed must not depend on how many
+    # faults of the leader are drawn.
     rng = random.Random(f"{seed} leader")
     faults = []
     at = _FIRST_SECONDS
--- a/misc/soaks/soak_ledger.py
+++ b/misc/soaks/soak_ledger.py
@@ -1,7 +1,7 @@
-"""What a soak has seen, and the promises that it breaks.
+"""Record of what clients and upstreams observed in a soak, and of broken guarantees.
 
-Pure: clients and upstreams of the soak tell what they saw on their sockets. A finding
-is a sentence with the ids to look for in the processes' logs.
+Does no input or output: the soak's clients and upstreams record here what they sent and
+received. A finding is a sentence with the ids to look for in the processes' logs.
 """
 
 import collections
@@ -13,28 +13,29 @@
 
 from misc.soaks import soak_accounts, soak_runs
 
-# Statuses by which a gateway promises that a request did not run and never will.
+# Statuses with which a gateway guarantees that a request has not run and never will.
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
-# Time in which an acknowledged end or departure must be in force, in seconds, while
-# nothing is disturbed.
-IN_FORCE_SECONDS: Final = 3.0
-# Disturbances less than this long ago excuse what has a bound on its time.
+# Time in seconds in which an acknowledged end of a batch or departure of an upstream
+# must take effect while there is no fault.
+MAX_DELAY_SECONDS: Final = 3.0
+# Time bounds are not checked until the last fault is this many seconds ago.
 SETTLE_SECONDS: Final = 6.0
-# A process may end by itself this often in a run: one that was replaced, or whose disk
-# failed, ends once and comes back as a new one.
-MAX_OWN_ENDS: Final = 3
-# An accepted batch may be unknown for this long after its acknowledgement.
-KNOWN_SECONDS: Final = 1.0
-# Header of each item's request that names the batch it is sent for: an item that comes
-# again has the same id in both batches.
+# Number of times that a process may exit by itself in a run: one that was replaced, or
+# whose disk failed, exits once and is restarted as a new replica.
+MAX_UNEXPECTED_EXITS: Final = 3
+# An accepted batch may be unknown to a gateway for this many seconds after its
+# acknowledgement.
+VISIBLE_SECONDS: Final = 1.0
+# Header of each item's request that names the batch it is sent for. The item id does
+# not identify the batch: an item that is submitted again has the same id in both.
 BATCH_HEADER: Final = "X-Soak-Batch"
-# Requests with this body end the plain service that runs them.
+# A request with this body crashes the plain service that runs it.
 CRASHING_BODY: Final = b"ends whatever runs it"
-# Upstreams that such a request may end before all have to know, the time that they have
-# for it, and the attempts that may still reach one later.
-CRASHES: Final = 3
-CONTACT_SECONDS: Final = 3.0
-LATE_ATTEMPTS: Final = 3
+# After this many crashes, requests with this body must be in quarantine at all gateways
+# within `QUARANTINE_SECONDS`. At most `MAX_LATE_ATTEMPTS` may reach an upstream later.
+QUARANTINE_CRASHES: Final = 3
+QUARANTINE_SECONDS: Final = 3.0
+MAX_LATE_ATTEMPTS: Final = 3
 
 
 @attrs.define
@@ -44,211 +45,248 @@
     n_events_by_item_id: Mapping[str, int]
     min_version: int
     accepted_at: float
-    # Items that are scored.
+    # Items that have a scoring request.
     scored_ids: frozenset[str] = frozenset()
     results: list[standins.Listed] = attrs.field(factory=list)
     ended_at: float | None = None
-    # Its end was asked for; it may hold, whether or not the answer was seen.
-    is_end_asked: bool = False
+    # Whether its end was requested. The end may have taken effect even if the answer
+    # was lost.
+    is_end_requested: bool = False
 
 
 class Ledger:
-    """Everything seen in one run."""
+    """Everything observed in one run."""
 
     def __init__(self) -> None:
         self.findings: list[str] = []
-        self.accounts = soak_accounts.Accounts(self._find)
+        self.accounts = soak_accounts.Accounts(self._add_finding)
         self.runs = soak_runs.Runs()
-        # Who sent the last order: the leader of the stores, as far as engines know.
+        # Address of the sender of the last order, which is the leading store as far as
+        # the engines know.
         self.leader = ""
         self.counts: collections.Counter[str] = collections.Counter()
         self.disturbed_at = float("-inf")
         self.policy_version = 0
-        self.named_by_model: dict[str, int] = {}
+        self.announced_by_model: dict[str, int] = {}
         self._runs_by_request: collections.Counter[str] = collections.Counter()
         self._refused: set[str] = set()
         self._batches: dict[str, _Batch] = {}
-        # Batches that were sent, accepted or not: an item may come again.
+        # Submitted batches of each item, accepted or not: an item may be in several.
         self._batch_ids_by_item: dict[str, set[str]] = {}
-        self._left_at_by_upstream: dict[str, float] = {}
+        self._departed_at_by_upstream: dict[str, float] = {}
         self._holders_by_order: dict[tuple[str, int], str] = {}
-        self._own_ends_by_process: collections.Counter[str] = collections.Counter()
-        # When upstreams ended under crashing requests, and which attempts came late.
+        self._unexpected_exits_by_process: collections.Counter[str] = (
+            collections.Counter()
+        )
+        # Times at which crash-causing requests crashed upstreams, and the ids of those
+        # that reached an upstream after they had to be in quarantine.
         self._crashed_at: list[float] = []
         self._late_crashing_ids: set[str] = set()
 
-    def _find(self, text: str) -> None:
+    def _add_finding(self, text: str) -> None:
         self.counts["findings"] += 1
         if text not in self.findings:
             self.findings.append(text)
 
-    def disturbed(self, now: float) -> None:
-        """Note that a fault is there at this moment."""
+    def record_disturbance(self, now: float) -> None:
+        """Record that a fault is active at this moment."""
         self.disturbed_at = max(self.disturbed_at, now)
 
-    def is_calm(self, now: float) -> bool:
-        """Tell whether nothing was disturbed for a while."""
+    def is_undisturbed(self, now: float) -> bool:
+        """Return whether there was no fault for `SETTLE_SECONDS`."""
         return now - self.disturbed_at > SETTLE_SECONDS
 
-    def ended_by_itself(self, process: str, exit_code: int | None, now: float) -> None:
-        """Note that a process has ended though nobody ended it."""
+    def record_unexpected_exit(
+        self, process: str, exit_code: int | None, now: float
+    ) -> None:
+        """Record that a process has exited although no fault ended it."""
         self.counts[f"ended by themselves with {exit_code}"] += 1
-        self.disturbed(now)
-        self._own_ends_by_process[process] += 1
-        if self._own_ends_by_process[process] > MAX_OWN_ENDS:
-            self._find(f"{process} ended by itself again and again")
+        self.record_disturbance(now)
+        self._unexpected_exits_by_process[process] += 1
+        if self._unexpected_exits_by_process[process] > MAX_UNEXPECTED_EXITS:
+            self._add_finding(f"{process} exited by itself too often")
 
-    def failed(self, process: str, error: str) -> None:
-        """Note that a process has met an error of its own code."""
-        self._find(f"{process} met an error: {error}")
+    def record_process_error(self, process: str, error: str) -> None:
+        """Record an unhandled exception in a process."""
+        self._add_finding(f"{process} logged an unhandled exception: {error}")
 
     # Single requests
 
-    def ran_once_only(self, request_id: str, upstream_id: str) -> None:
-        """Note that a request that may run once has begun to run."""
+    def record_once_only_run(self, request_id: str, upstream_id: str) -> None:
+        """Record that a once-only request has begun to run."""
         self._runs_by_request[request_id] += 1
         if self._runs_by_request[request_id] > 1:
-            self._find(f"{request_id} ran again, at {upstream_id}")
+            self._add_finding(f"{request_id} ran a second time, at {upstream_id}")
         if request_id in self._refused:
-            self._find(f"{request_id} ran at {upstream_id} after a refusal as not run")
+            self._add_finding(
+                f"{request_id} ran at {upstream_id} after a refusal that excludes it"
+            )
 
-    def answered_once_only(self, request_id: str, status: int) -> None:
-        """Note the answer to a request that may run once."""
+    def record_once_only_answer(self, request_id: str, status: int) -> None:
+        """Record the answer to a once-only request."""
         self.counts[f"once-only {status}"] += 1
         if status not in NOT_RUN_STATUSES:
             return
         self._refused.add(request_id)
         if self._runs_by_request[request_id]:
-            self._find(f"{request_id} was refused with {status} and had run")
+            self._add_finding(
+                f"{request_id} was refused with {status} after it had run"
+            )
 
-    def answered(self, request_id: str, status: int, body: bytes, stamp: str) -> None:
-        """Note the answer to any request."""
+    def record_answer(
+        self, request_id: str, status: int, body: bytes, stamp: str
+    ) -> None:
+        """Record the answer to any single request."""
         self.counts[f"look-up {status}"] += 1
-        self.accounts.answered(request_id, status)
+        self.accounts.record_answer(request_id, status)
         if status != 200:
             return
         if body.decode("utf-8", "replace") != request_id:
-            self._find(f"{request_id} got another answer: {body[:60]!r}")
+            self._add_finding(f"{request_id} got a wrong answer: {body[:60]!r}")
         if not stamp:
-            self._find(f"{request_id} got a success that no upstream made")
+            self._add_finding(f"{request_id} got a success without an upstream stamp")
 
-    # Requests that end upstreams
+    # Crash-causing requests
 
-    def crashed_by_request(self, now: float) -> None:
-        """Note that a crashing request has ended an upstream."""
+    def record_crash_by_request(self, now: float) -> None:
+        """Record that a crash-causing request has crashed an upstream."""
         self.counts["ended by a request"] += 1
         self._crashed_at.append(now)
 
-    def crashing_reached(self, request_id: str, now: float) -> None:
-        """Note that a crashing request has reached an upstream."""
-        if len(self._crashed_at) < CRASHES or not self.is_calm(now):
+    def record_crashing_attempt(self, request_id: str, now: float) -> None:
+        """Record that a crash-causing request has reached an upstream."""
+        if len(self._crashed_at) < QUARANTINE_CRASHES or not self.is_undisturbed(now):
             return
-        if now - self._crashed_at[CRASHES - 1] > CONTACT_SECONDS:
+        if now - self._crashed_at[QUARANTINE_CRASHES - 1] > QUARANTINE_SECONDS:
             self._late_crashing_ids.add(request_id)
-        if len(self._late_crashing_ids) > LATE_ATTEMPTS:
+        if len(self._late_crashing_ids) > MAX_LATE_ATTEMPTS:
             n_late = len(self._late_crashing_ids)
-            self._find(f"a crashing request reached upstreams {n_late} times too late")
+            self._add_finding(
+                f"crash-causing requests reached upstreams {n_late} times too late"
+            )
 
     # Policies and versions
 
-    def put_policy(self, version: int) -> None:
-        """Note an acknowledged policy."""
+    def record_policy(self, version: int) -> None:
+        """Record an acknowledged policy."""
         self.counts["policies"] += 1
         self.policy_version = max(self.policy_version, version)
 
-    def read_policy(self, version: int, version_before: int) -> None:
-        """Note a policy that was read; `version_before` was in force at the asking."""
+    def record_policy_read(self, version: int, version_before: int) -> None:
+        """Record a policy that was read.
+
+        `version_before` is the newest version acknowledged when the read began.
+        """
         self.counts["policies read"] += 1
         if version < version_before:
-            self._find(f"policy {version} was read after {version_before} was taken")
+            self._add_finding(
+                f"policy {version} was read after {version_before} was acknowledged"
+            )
 
-    def named(self, model: str, version: int) -> None:
-        """Note an acknowledged version of a model."""
-        self.named_by_model[model] = max(version, self.named_by_model.get(model, 0))
+    def record_version(self, model: str, version: int) -> None:
+        """Record an acknowledged weight version of a model."""
+        self.announced_by_model[model] = max(
+            version, self.announced_by_model.get(model, 0)
+        )
 
-    def ordered(self, upstream_id: str, order: standins.OrderGiven) -> None:
-        """Note an order that an engine has got."""
+    def record_order(self, upstream_id: str, order: standins.OrderGiven) -> None:
+        """Record an order that an engine has received."""
         self.counts["orders"] += 1
         self.leader = order.holder
         key = (upstream_id, order.fencing_number)
         holder = self._holders_by_order.setdefault(key, order.holder)
         if holder != order.holder:
-            self._find(
+            self._add_finding(
                 f"{upstream_id} got orders with {order.fencing_number} from {holder} "
                 f"and {order.holder}"
             )
 
     # Upstreams
 
-    def left(self, upstream_id: str, now: float) -> None:
-        """Note that an upstream's leaving was acknowledged."""
-        self._left_at_by_upstream.setdefault(upstream_id, now)
+    def record_departure(self, upstream_id: str, now: float) -> None:
+        """Record that the departure of an upstream was acknowledged."""
+        self._departed_at_by_upstream.setdefault(upstream_id, now)
 
-    def announced_wrongly(self, body: bytes, is_acknowledged: bool) -> None:
-        """Note an announcement that names no upstream."""
+    def record_invalid_announcement(self, body: bytes, is_acknowledged: bool) -> None:
+        """Record an announcement that is invalid and must not be acknowledged."""
         self.counts["announced wrongly"] += 1
         if is_acknowledged:
-            self._find(f"acknowledged an announcement of nobody: {body[:300]!r}")
+            self._add_finding(f"acknowledged an invalid announcement: {body[:300]!r}")
 
-    def received(
+    def record_request(
         self, upstream_id: str, request_id: str, now: float, batch_id: str = ""
     ) -> None:
-        """Note that an upstream got a request, with the mark of a batch or none."""
-        left_at = self._left_at_by_upstream.get(upstream_id, now)
-        if now - left_at > IN_FORCE_SECONDS and self.is_calm(now):
-            self._find(f"{upstream_id} got {request_id} {now - left_at:.1f} s late")
+        """Record a request that an upstream has received.
+
+        `batch_id` is the value of its `BATCH_HEADER`, or empty.
+        """
+        departed_at = self._departed_at_by_upstream.get(upstream_id, now)
+        if now - departed_at > MAX_DELAY_SECONDS and self.is_undisturbed(now):
+            self._add_finding(
+                f"{upstream_id} got {request_id} {now - departed_at:.1f} s "
+                "after its departure"
+            )
         self._check_end(batch_id, request_id, upstream_id, now)
-        ends = [
+        end_times = [
             self._batches[each].ended_at if each in self._batches else None
             for each in self._batch_ids_by_item.get(request_id, ())
         ]
-        known_ends = [each for each in ends if each is not None]
-        if not ends or len(known_ends) < len(ends) or not self.is_calm(now):
+        known_end_times = [each for each in end_times if each is not None]
+        if (
+            not end_times
+            or len(known_end_times) < len(end_times)
+            or not self.is_undisturbed(now)
+        ):
             return
-        if now - max(known_ends) > IN_FORCE_SECONDS:
-            self._find(f"item {request_id} ran after the end of its batch")
+        if now - max(known_end_times) > MAX_DELAY_SECONDS:
+            self._add_finding(f"item {request_id} ran after the end of all its batches")
 
-    def goes_on(self, run: soak_runs.EngineRun, now: float) -> None:
-        """Note that an engine's run of an item is under way.
+    def check_run(self, run: soak_runs.EngineRun, now: float) -> None:
+        """Check that the batch of a run that is in progress has not ended.
 
-        One that has met a disturbance is let off: a connection that was muted tells its
-        engine of no end.
+        A run during which there was a fault is not checked: on a muted connection the
+        engine does not see that the run was cancelled.
         """
-        if run.began_at > self.disturbed_at:
+        if run.started_at > self.disturbed_at:
             self._check_end(run.batch_id, run.item_id, run.upstream_id, now)
 
     def _check_end(
         self, batch_id: str, item_id: str, upstream_id: str, now: float
     ) -> None:
-        """Check that an attempt's own batch has not ended, whatever others are open."""
+        """Check that the batch an attempt was sent for has not ended.
+
+        Other open batches with the same item are no excuse.
+        """
         batch = self._batches.get(batch_id)
-        if batch is None or batch.ended_at is None or not self.is_calm(now):
+        if batch is None or batch.ended_at is None or not self.is_undisturbed(now):
             return
-        if now - batch.ended_at > IN_FORCE_SECONDS:
-            self._find(f"{item_id} of {batch_id} outlived it at {upstream_id}")
+        if now - batch.ended_at > MAX_DELAY_SECONDS:
+            self._add_finding(
+                f"{item_id} ran after the end of {batch_id} at {upstream_id}"
+            )
 
     # Scores
 
-    def scored(self, request_id: str) -> None:
-        """Note that a service has got a request that may be a scoring request."""
+    def record_scoring_request(self, request_id: str) -> None:
+        """Record a request at a plain service if it is a scoring request."""
         item_id = scored_item(request_id)
         if not item_id:
             return
         self.counts["scoring requests"] += 1
         runs = self.runs.of(item_id)
-        if not any(each.n_due in each.versions_by_number for each in runs):
-            self._find(f"{item_id} was to be scored before its text was whole")
+        if not any(each.n_expected in each.versions_by_number for each in runs):
+            self._add_finding(f"{item_id} was scored before its text was complete")
 
     # Batches
 
-    def sent(self, batch_id: str, item_ids: Iterable[str]) -> None:
-        """Note that a batch is about to be sent."""
+    def record_submission(self, batch_id: str, item_ids: Iterable[str]) -> None:
+        """Record a batch before it is submitted."""
         for item_id in item_ids:
             batch_ids = self._batch_ids_by_item.setdefault(item_id, set())
             self.counts["items that came again"] += bool(batch_ids - {batch_id})
             batch_ids.add(batch_id)
 
-    def accepted(
+    def record_accepted_batch(
         self,
         batch_id: str,
         n_events_by_item_id: Mapping[str, int],
@@ -256,7 +294,7 @@
         now: float,
         scored_ids: frozenset[str] = frozenset(),
     ) -> None:
-        """Note an acknowledged batch; `scored_ids` are its items that are scored."""
+        """Record an acknowledged batch; the items in `scored_ids` are scored."""
         self.counts["batches"] += 1
         if batch_id in self._batches:
             return
@@ -267,48 +305,48 @@
             self._batch_ids_by_item.setdefault(item_id, set()).add(batch_id)
 
     def batch_ids(self) -> list[str]:
-        """Return the accepted batches, the oldest first."""
+        """Return the ids of the accepted batches, the oldest first."""
         return list(self._batches)
 
     def n_listed(self, batch_id: str) -> int:
-        """Return how many results of a batch were read so far."""
+        """Return how many results of a batch have been read so far."""
         return len(self._batches[batch_id].results)
 
     def must_finish(self, batch_id: str) -> bool:
-        """Tell whether all items of a batch must be listed some time.
+        """Return whether all items of a batch must be listed eventually.
 
-        Not once its end was asked for: the end may be in force although nobody saw the
-        answer, as when the asking client is stopped in the middle.
+        Not after its end was requested: the end may have taken effect even if its
+        answer was lost, for example because the client was stopped while it waited.
         """
-        return not self._batches[batch_id].is_end_asked
+        return not self._batches[batch_id].is_end_requested
 
-    def end_asked(self, batch_id: str) -> None:
-        """Note that the end of a batch is about to be asked for."""
-        self._batches[batch_id].is_end_asked = True
+    def record_end_request(self, batch_id: str) -> None:
+        """Record that the end of a batch is about to be requested."""
+        self._batches[batch_id].is_end_requested = True
 
-    def ended(self, batch_id: str, now: float) -> None:
-        """Note an acknowledged end."""
+    def record_end(self, batch_id: str, now: float) -> None:
+        """Record the acknowledged end of a batch."""
         self.counts["ends"] += 1
         batch = self._batches[batch_id]
         if batch.ended_at is None:
             batch.ended_at = now
 
-    def not_found(self, batch_id: str, asked_at: float) -> None:
-        """Note that a batch was called unknown."""
+    def record_not_found(self, batch_id: str, requested_at: float) -> None:
+        """Record that a gateway answered that a batch is unknown."""
         batch = self._batches.get(batch_id)
-        if batch is not None and asked_at - batch.accepted_at > KNOWN_SECONDS:
-            self._find(f"accepted batch {batch_id} was called unknown")
+        if batch is not None and requested_at - batch.accepted_at > VISIBLE_SECONDS:
+            self._add_finding(f"accepted batch {batch_id} was reported as unknown")
 
-    def read(self, batch_id: str, position: int, page: standins.Page) -> None:
-        """Note results that were read from `position` on."""
+    def record_page(self, batch_id: str, position: int, page: standins.Page) -> None:
+        """Record a page of results that was read from `position` on."""
         self.counts["pages"] += 1
         batch = self._batches[batch_id]
         if page.n_items != len(batch.n_events_by_item_id):
-            self._find(f"{batch_id} has {page.n_items} items by its page")
+            self._add_finding(f"{batch_id} has a page with {page.n_items} items")
         for i, listed in enumerate(page.results, position):
             if i < len(batch.results):
                 if batch.results[i] != listed:
-                    self._find(f"{batch_id} has another result at {i}")
+                    self._add_finding(f"{batch_id} has a changed result at {i}")
                 continue
             if i > len(batch.results):
                 return
@@ -320,31 +358,33 @@
     ) -> None:
         item_id = listed.item_id
         if item_id not in batch.n_events_by_item_id:
-            self._find(f"{batch_id} lists {item_id}, which it doesn't have")
+            self._add_finding(f"{batch_id} lists {item_id}, which is not its item")
             return
         if any(each.item_id == item_id for each in batch.results):
-            self._find(f"{batch_id} lists {item_id} twice")
+            self._add_finding(f"{batch_id} lists {item_id} twice")
         if listed.is_completed:
             if item_id in batch.scored_ids:
                 expected = standins.signature(scoring_id(item_id))
                 if listed.score != expected:
-                    self._find(f"{item_id} of {batch_id} has {listed.score!r} as score")
+                    self._add_finding(
+                        f"{item_id} of {batch_id} has {listed.score!r} as wrong score"
+                    )
             self.counts["texts"] += 1
-            self.counts["texts of several runs"] += self.runs.n_joined(listed.text) > 1
-            for fault in self._text_faults(listed, batch):
-                self._find(f"{item_id} of {batch_id}: {fault}")
-
-    def _text_faults(self, listed: standins.Listed, batch: _Batch) -> Iterator[str]:
-        n_due = batch.n_events_by_item_id[listed.item_id]
-        yield from self.runs.faults(listed.item_id, n_due, listed.text)
-        versions = self.runs.made_under(listed.text)
+            self.counts["texts of several runs"] += self.runs.n_runs_in(listed.text) > 1
+            for error in self._text_errors(listed, batch):
+                self._add_finding(f"{item_id} of {batch_id}: {error}")
+
+    def _text_errors(self, listed: standins.Listed, batch: _Batch) -> Iterator[str]:
+        n_expected = batch.n_events_by_item_id[listed.item_id]
+        yield from self.runs.text_errors(listed.item_id, n_expected, listed.text)
+        versions = self.runs.versions_in(listed.text)
         if versions != set(listed.versions):
-            yield f"made under {sorted(versions)}, listed as {listed.versions}"
+            yield f"made with {sorted(versions)}, listed with {listed.versions}"
         if versions and min(versions) < batch.min_version:
-            yield f"made under {min(versions)}, allowed from {batch.min_version}"
+            yield f"made with version {min(versions)}, minimum {batch.min_version}"
 
     def missing(self, batch_id: str) -> Collection[str]:
-        """Return the items of a batch that are not listed yet."""
+        """Return the ids of the items of a batch that are not listed yet."""
         batch = self._batches[batch_id]
         listed = {each.item_id for each in batch.results}
         return batch.n_events_by_item_id.keys() - listed
@@ -359,7 +399,7 @@
 
 
 def scored_item(request_id: str) -> str:
-    """Return the item that a request scores; empty: it is no scoring request."""
+    """Return the id of the item that a request scores, or "" if it scores none."""
     if not request_id.endswith(_SCORING_SUFFIX):
         return ""
     return request_id.removesuffix(_SCORING_SUFFIX)
--- a/misc/soaks/soak_links.py
+++ b/misc/soaks/soak_links.py
@@ -1,8 +1,8 @@
-"""Links of the soak: loopback proxies that delay, hold back, reset and refuse.
+"""Links of the soak: loopback proxies that delay, block, reset and refuse connections.
 
-Everything that reaches a process or an upstream over the network passes one. What is
-held back is delivered once the link is whole again, as TCP does after a cut; a
-connection that was muted stays silent for good, without a reset.
+Everything that reaches a process or an upstream over the network passes through a link.
+Blocked bytes are delivered once the link is open again, as TCP does after a network
+partition. A muted connection never carries data again, and is not reset either.
 """
 
 import contextlib
@@ -14,30 +14,31 @@
 import eventlet
 
 _READ_BYTES: Final = 64 * 1024
-# How often a pump that is held back looks again, in seconds.
-_LOOK_SECONDS: Final = 0.02
-# Closing with this set sends a reset.
+# How often a blocked pump checks the state of its link, in seconds.
+_POLL_SECONDS: Final = 0.02
+# With this value of SO_LINGER, closing a socket sends a TCP reset.
 _RESET: Final = struct.pack("ii", 1, 0)
 
 
 class State(enum.Enum):
-    """What a link does with bytes."""
+    """What a link does with data and new connections."""
 
-    WHOLE = "whole"
-    # Nothing passes either way; new connections are taken and hang.
+    OPEN = "whole"
+    # Nothing passes in either direction; new connections are accepted and hang.
     SILENT = "silent"
-    # Nothing passes towards the process, or away from it.
+    # Nothing passes towards the process, or nothing passes away from it.
     SILENT_INWARD = "silent-inward"
     SILENT_OUTWARD = "silent-outward"
-    # New connections are refused, as by a process that is not there.
+    # New connections are closed at once, as if there were no process.
     REFUSING = "refusing"
 
 
 class _Pair:
     """The two sockets of one connection through a link.
 
-    Only its two pumps close them, the last one both: a socket that is closed while
-    another task waits on it leaves that task waiting on whatever gets its number next.
+    Both sockets are closed when the second of the two pumps ends. If a socket were
+    closed while another task waits on it, that task would then wait on the next socket
+    that gets the same file descriptor.
     """
 
     def __init__(self, outer: Any, inner: Any) -> None:
@@ -47,22 +48,22 @@
         self._n_pumps = 2
 
     def reset(self) -> None:
-        """Have both sides reset."""
+        """Reset the connection on both sides."""
         for each in (self.outer, self.inner):
-            # It may have ended already.
+            # The connection may be closed already.
             with contextlib.suppress(OSError):
                 each.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
-        self.wake()
+        self.shut_down()
 
-    def wake(self) -> None:
-        """Let both pumps see that the connection has ended."""
+    def shut_down(self) -> None:
+        """Shut both sockets down, so that both pumps end."""
         self.is_muted = False
         for each in (self.outer, self.inner):
             with contextlib.suppress(OSError):
                 each.shutdown(socket.SHUT_RDWR)
 
-    def pump_ended(self) -> None:
-        """Close both sockets after the second pump."""
+    def release(self) -> None:
+        """Record the end of a pump; the second call closes both sockets."""
         self._n_pumps -= 1
         if not self._n_pumps:
             self.outer.close()
@@ -70,11 +71,11 @@
 
 
 class Link:
-    """One listening address before one target address."""
+    """Proxy from one listening address to one target address."""
 
     def __init__(self, address: tuple[str, int], target: tuple[str, int]) -> None:
         self._target = target
-        self.state = State.WHOLE
+        self.state = State.OPEN
         self.delay_seconds = 0.0
         self._pairs: list[_Pair] = []
         self._listen(address)
@@ -86,20 +87,20 @@
 
     @property
     def address(self) -> str:
-        """Where the link is reached, ``IP:port``."""
+        """The address that the link listens on, as ``IP:port``."""
         host, port = self._name
         return f"{host}:{port}"
 
     def retarget(self, target: tuple[str, int]) -> None:
-        """Lead new connections to another target."""
+        """Connect new connections to another target; listen again if closed."""
         self._target = target
         if not self._tasks:
             self._listen(self._name)
 
     def close(self) -> None:
-        """Refuse new connections and reset the others, as a host without the process.
+        """Refuse new connections and reset the open ones until `retarget` is called.
 
-        Until it leads to the next target.
+        Clients see the same as at a host on which the process does not run.
         """
         self._listener.close()
         for task in self._tasks:
@@ -108,23 +109,23 @@
         self.reset()
 
     def heal(self) -> None:
-        """Let everything pass again; muted connections stay silent."""
-        self.state = State.WHOLE
+        """Let all data pass again, except on muted connections."""
+        self.state = State.OPEN
         self.delay_seconds = 0.0
 
     def reset(self) -> None:
-        """Reset all connections."""
+        """Reset all open connections."""
         pairs, self._pairs = self._pairs, []
         for pair in pairs:
             pair.reset()
 
     def mute(self) -> None:
-        """Silence the connections that there are, for good."""
+        """Block the open connections permanently, without a reset."""
         for pair in self._pairs:
             pair.is_muted = True
 
     def stop(self) -> None:
-        """Close everything."""
+        """Close the listener and all connections."""
         self.close()
         self.heal()
 
@@ -138,11 +139,11 @@
 
     def _open(self, outer: Any) -> None:
         while self.state is State.SILENT:
-            eventlet.sleep(_LOOK_SECONDS)
+            eventlet.sleep(_POLL_SECONDS)
         try:
             inner = eventlet.connect(self._target)
         except OSError:
-            # The process is not there: its client sees the connection end.
+            # The process does not listen: close the connection of its client.
             outer.close()
             return
         pair = _Pair(outer, inner)
@@ -150,19 +151,19 @@
         eventlet.spawn_n(self._pump, pair, outer, inner, State.SILENT_INWARD)
         eventlet.spawn_n(self._pump, pair, inner, outer, State.SILENT_OUTWARD)
 
-    def _pump(self, pair: _Pair, source: Any, sink: Any, held_by: State) -> None:
+    def _pump(self, pair: _Pair, source: Any, sink: Any, blocking_state: State) -> None:
         try:
             while data := source.recv(_READ_BYTES):
                 if self.delay_seconds:
                     eventlet.sleep(self.delay_seconds)
-                while pair.is_muted or self.state in (State.SILENT, held_by):
-                    eventlet.sleep(_LOOK_SECONDS)
+                while pair.is_muted or self.state in (State.SILENT, blocking_state):
+                    eventlet.sleep(_POLL_SECONDS)
                 sink.sendall(data)
             sink.shutdown(socket.SHUT_WR)
         except OSError:
-            # One side has gone; the other has to see it too.
-            pair.wake()
+            # One side has closed the connection: close it on the other side too.
+            pair.shut_down()
         finally:
             if pair in self._pairs:
                 self._pairs.remove(pair)
-            pair.pump_ended()
+            pair.release()
--- a/misc/soaks/soak_node.py
+++ b/misc/soaks/soak_node.py
@@ -1,7 +1,8 @@
-"""Start one process of a deployment as the soak does.
+"""Run one process of a deployment for the soak.
 
-The process is the platform's own. It binds an address of its own, so that others reach
-it through the soak's links, and its wall clock follows a file with an offset.
+The process runs the platform's own code. It binds to a private address, so that others
+reach it only through the soak's links, and its wall clock is shifted by an offset that
+is read from a file.
 """
 
 import os
@@ -30,7 +31,7 @@
 
 
 class WallClock:
-    """The wall clock with an offset in seconds that a file tells."""
+    """The wall clock plus an offset in seconds that is read from a file."""
 
     def __init__(self, path: pathlib.Path) -> None:
         self._path = path
@@ -38,12 +39,12 @@
         self._offset = 0.0
 
     def install(self) -> None:
-        """Take the place of `time.time`."""
+        """Replace `time.time`."""
         time.time = self.now
         eventlet.spawn(self._follow)
 
     def now(self) -> float:
-        """Return the seconds since the epoch, off by the offset."""
+        """Return the seconds since the epoch plus the offset."""
         return self._real() + self._offset
 
     def _follow(self) -> None:
@@ -55,7 +56,7 @@
 
 
 def start(settings_path: str, own_ip: str, clock_path: str) -> None:
-    """Run the process until it is told to stop."""
+    """Run the process until it is stopped by a signal."""
     os.environ[settings.PATH_VARIABLE] = settings_path
     WallClock(pathlib.Path(clock_path)).install()
     log = logs.open_output()
--- a/misc/soaks/soak_runs.py
+++ b/misc/soaks/soak_runs.py
@@ -1,7 +1,8 @@
-"""The runs by which the soak's engines make texts, and whether a text is theirs.
+"""The runs in which the soak's engines generate texts, and the check of texts by them.
 
-Pure: engines note each run and the events that it makes. An event's data names its run,
-its number and how many are due, so that a text tells by itself where it comes from.
+Does no input or output: engines record each run and the events that it makes. The data
+of an event contains its run, its number and the expected number of events, so that the
+origin of each part of a text can be read from the text.
 """
 
 import random
@@ -10,8 +11,8 @@
 
 import attrs
 
-# Shares of the items that are long: many events at once, or slow ones, which last for
-# seconds, so that unfinished texts are kept and items are moved.
+# Shares of the items that are long: those with many events, and those with slow events.
+# Slow items last for seconds, so that incomplete texts are saved and items are moved.
 _MANY_SHARE: Final = 0.1
 _SLOW_SHARE: Final = 0.15
 _EVENT_SECONDS: Final = 0.015
@@ -20,14 +21,14 @@
 
 @attrs.frozen
 class Shape:
-    """What an engine is to make of an item."""
+    """The number and the pace of the events that an engine is to make for an item."""
 
     n_events: int
     pause_seconds: float = _EVENT_SECONDS
 
     @classmethod
     def draw(cls, item_id: str, may_be_long: bool = True) -> "Shape":
-        """Return an item's shape, the same for the same id."""
+        """Return the shape of an item; it depends only on the id."""
         rng = random.Random(item_id)
         point = rng.random()
         if not may_be_long or point >= _MANY_SHARE + _SLOW_SHARE:
@@ -42,7 +43,7 @@
 
     @classmethod
     def read(cls, body: bytes) -> "Shape":
-        """Return the shape that a request's body asks for."""
+        """Read the shape from the body of an item's request."""
         _, n_events, pause_seconds = body.decode().split(" ")
         return cls(int(n_events), float(pause_seconds))
 
@@ -54,17 +55,17 @@
     number: int
     item_id: str
     upstream_id: str
-    # The event that it was asked to go on after; 0: to begin.
-    asked_after: int
-    n_due: int
-    # The batch that its request was sent for, as its own mark says; empty: none.
+    # Number of the last event of the saved text that it resumes; 0 if it starts afresh.
+    resume_after: int
+    n_expected: int
+    # The batch that its request names in `soak_ledger.BATCH_HEADER`; empty if none.
     batch_id: str = ""
-    began_at: float = 0.0
+    started_at: float = 0.0
     versions_by_number: dict[int, int] = attrs.field(factory=dict)
-    end: str = "left by its reader"
+    end: str = "abandoned by its reader"
 
-    def make(self, number: int, version: int) -> str:
-        """Note an event that is made now; return its data."""
+    def make_event(self, number: int, version: int) -> str:
+        """Record an event as made and return its data."""
         self.versions_by_number[number] = version
         return event_data(self, number, version)
 
@@ -72,33 +73,33 @@
         made = sorted(self.versions_by_number)
         span = f"{made[0]} to {made[-1]}" if made else "nothing"
         return (
-            f"run {self.number} at {self.upstream_id} (asked to go on after "
-            f"{self.asked_after}, made {span}, {self.end})"
+            f"run {self.number} at {self.upstream_id} (asked to resume after "
+            f"{self.resume_after}, made {span}, {self.end})"
         )
 
 
 def event_data(run: EngineRun, number: int, version: int) -> str:
     """Return the data of an event of a run."""
-    return f"{run.item_id}:{number}/{run.n_due}:{version}:{run.number}"
+    return f"{run.item_id}:{number}/{run.n_expected}:{version}:{run.number}"
 
 
 @attrs.frozen
 class _Event:
-    """An event as its data tells."""
+    """The fields in the data of an event."""
 
     item_id: str
     number: int
-    n_due: int
+    n_expected: int
     version: int
     run: int
 
     @classmethod
     def read(cls, line: str) -> "_Event | None":
-        """Return what a line of a text tells; None: it is no event's data."""
+        """Parse a line of a text; return None if it is not the data of an event."""
         try:
-            item_id, place, version, run = line.split(":")
-            number, _, n_due = place.partition("/")
-            return cls(item_id, int(number), int(n_due), int(version), int(run))
+            item_id, position, version, run = line.split(":")
+            number, _, n_expected = position.partition("/")
+            return cls(item_id, int(number), int(n_expected), int(version), int(run))
         except ValueError:
             return None
 
@@ -114,14 +115,16 @@
         self,
         item_id: str,
         upstream_id: str,
-        asked_after: int,
-        n_due: int,
+        resume_after: int,
+        n_expected: int,
         batch_id: str = "",
         now: float = 0.0,
     ) -> EngineRun:
-        """Note a run that begins."""
+        """Record the start of a run and return the run."""
         number = len(self._runs)
-        run = EngineRun(number, item_id, upstream_id, asked_after, n_due, batch_id, now)
+        run = EngineRun(
+            number, item_id, upstream_id, resume_after, n_expected, batch_id, now
+        )
         self._runs.append(run)
         self._runs_by_item_id.setdefault(item_id, []).append(run)
         return run
@@ -130,11 +133,11 @@
         """Return the runs of an item, the oldest first."""
         return self._runs_by_item_id.get(item_id, [])
 
-    def faults(self, item_id: str, n_due: int, text: str) -> Iterator[str]:
-        """Yield the first thing that is wrong with the order of a whole text.
+    def text_errors(self, item_id: str, n_expected: int, text: str) -> Iterator[str]:
+        """Yield a description of the first error in a complete text.
 
-        Its events are 1 to the last one due. It goes on with another run only where
-        that run was asked to go on.
+        The events must be numbered from 1 to `n_expected`. The text may change from one
+        run to another only at the event after which the new run was asked to resume.
         """
         lines = text.split("\n") if text else []
         run: EngineRun | None = None
@@ -150,18 +153,18 @@
             if run.versions_by_number.get(number) != event.version:
                 yield f"event {number} is {line!r}, which {run} did not make"
                 return
-            if run is not before and run.asked_after != number - 1:
-                yield f"it goes on after event {number - 1} of {before} with {run}"
+            if run is not before and run.resume_after != number - 1:
+                yield f"it changes after event {number - 1} from {before} to {run}"
                 return
-        if len(lines) != n_due:
-            yield f"it ends after event {len(lines)} of {n_due}, made by {run}"
+        if len(lines) != n_expected:
+            yield f"it ends after event {len(lines)} of {n_expected}, made by {run}"
 
-    def made_under(self, text: str) -> set[int]:
-        """Return the weight versions of a text's events."""
+    def versions_in(self, text: str) -> set[int]:
+        """Return the weight versions with which the events of a text were made."""
         events = map(_Event.read, text.split("\n") if text else [])
         return {each.version for each in events if each is not None}
 
-    def n_joined(self, text: str) -> int:
-        """Return how many runs a text is joined from."""
+    def n_runs_in(self, text: str) -> int:
+        """Return the number of runs that have contributed to a text."""
         events = map(_Event.read, text.split("\n") if text else [])
         return len({each.run for each in events if each is not None})
--- a/misc/soaks/soak_site.py
+++ b/misc/soaks/soak_site.py
@@ -1,4 +1,4 @@
-"""The processes of a soak, their links, and the faults that are done to them."""
+"""The processes, links and upstreams of a soak, and the injection of faults."""
 
 import json
 import pathlib
@@ -23,7 +23,7 @@
     soak_upstreams,
 )
 
-# Internal ports by role: those of the two transports.
+# Internal ports by role, one for each of the two transports.
 _PORTS_BY_ROLE: Final = {
     options.Role.CONTROL: (7300, 7301),
     options.Role.GATEWAY: (7302, 7303),
@@ -33,13 +33,13 @@
 CLOCK_STEP_SECONDS: Final = 3.0
 _TORN_BYTES: Final = b"\x5a" * 37
 _TERMINATE_SECONDS: Final = 8.0
-# What a line says whose writer met an exception that it doesn't know how to handle.
+# Type of the log lines that report an unhandled exception.
 _ERROR_MARK: Final = '"eliot:traceback"'
 
 
 @attrs.frozen
 class Sizes:
-    """How many processes of each role there are."""
+    """Number of processes of each role and of upstreams of each service."""
 
     n_controls: int = 3
     n_stores: int = 3
@@ -49,9 +49,9 @@
 
 
 def errors(folder: pathlib.Path) -> Iterator[tuple[str, str]]:
-    """Yield the errors that processes wrote into their lines, with their names.
+    """Yield the process's name and a text for each unhandled exception in the logs.
 
-    Whoever restarts what has failed hides it: nothing else may be seen of it.
+    If a failed task was restarted at once, its log line is the only trace of the error.
     """
     for path in sorted(folder.glob("*.out")):
         for line in path.read_text(errors="replace").splitlines():
@@ -61,12 +61,12 @@
 
 
 class Site:
-    """One deployment on loopback addresses of its own."""
+    """One deployment on its own loopback network."""
 
     def __init__(
         self,
         folder: pathlib.Path,
-        slot: int,
+        network_number: int,
         sizes: Sizes,
         ledger: soak_ledger.Ledger,
         announce: Any,
@@ -77,16 +77,20 @@
         self.hosts_by_name: dict[str, standins.Host] = {}
         self.links_by_name: dict[str, list[soak_links.Link]] = {}
         self._tasks: list[Any] = []
-        # Processes that a fault keeps down.
+        # Names of the processes that a fault keeps stopped.
         self._down: set[str] = set()
         self._receiver = soak_accounts.Receiver(ledger.accounts)
-        self._make_hosts(slot, sizes)
-        self._starting_by_name = {
+        self._make_hosts(network_number, sizes)
+        self._start_locks_by_name = {
             name: semaphore.Semaphore() for name in self.hosts_by_name
         }
         self.upstreams_by_name = {
             f"{service}-{n}": soak_upstreams.Upstream(
-                f"{service}-{n}", service, f"127.{slot}.2.{200 + n}", ledger, announce
+                f"{service}-{n}",
+                service,
+                f"127.{network_number}.2.{200 + n}",
+                ledger,
+                announce,
             )
             for service, n_upstreams in (
                 ("engines", sizes.n_engines),
@@ -95,8 +99,10 @@
             for n in range(n_upstreams)
         }
 
-    def _make_hosts(self, slot: int, sizes: Sizes) -> None:
-        seeds = tuple(f"127.{slot}.2.{n + 1}" for n in range(min(sizes.n_controls, 3)))
+    def _make_hosts(self, network_number: int, sizes: Sizes) -> None:
+        seeds = tuple(
+            f"127.{network_number}.2.{n + 1}" for n in range(min(sizes.n_controls, 3))
+        )
         counts = (
             (options.Role.CONTROL, sizes.n_controls),
             (options.Role.STORE, sizes.n_stores),
@@ -111,8 +117,8 @@
                 self.hosts_by_name[name] = standins.Host(
                     name,
                     role,
-                    f"127.{slot}.2.{number}",
-                    f"127.{slot}.1.{number}",
+                    f"127.{network_number}.2.{number}",
+                    f"127.{network_number}.1.{number}",
                     f"zone-{n % 3}",
                     str(self._folder / f"{name}-data") if has_disk else "",
                     seeds,
@@ -121,7 +127,7 @@
                 )
 
     def targets(self) -> soak_faults.Targets:
-        """Return what faults may be drawn for."""
+        """Return the processes and upstreams that faults may be drawn for."""
         names_by_role: dict[str, list[str]] = {}
         for host in self.hosts_by_name.values():
             names_by_role.setdefault(host.role.value, []).append(host.name)
@@ -132,14 +138,14 @@
         )
 
     def addresses(self, role: options.Role, port: int) -> list[str]:
-        """Return where all processes of a role serve `port`."""
+        """Return the addresses at which the processes of a role serve `port`."""
         return [
             f"{each.own_ip}:{port}"
             for each in self.hosts_by_name.values()
             if each.role is role
         ]
 
-    # Life
+    # Start and stop
 
     def start(self) -> None:
         """Start all links, processes and upstreams."""
@@ -153,7 +159,7 @@
             upstream.start()
 
     def stop(self) -> None:
-        """End everything that was started here."""
+        """Stop all tasks, upstreams, processes and links."""
         for task in self._tasks:
             task.kill()
         for upstream in self.upstreams_by_name.values():
@@ -165,14 +171,15 @@
                 link.stop()
 
     def _start_process(self, name: str) -> None:
-        # In a task that nobody ends: healing ends the faults' tasks, and one that had
-        # started a process, but not noted it, would leave it behind on its ports.
+        # Runs in a separate task that `heal` does not kill. If a fault's task were
+        # killed after it has started a process but before the process is recorded, the
+        # process would keep running and hold its ports.
         eventlet.spawn(self._start_if_down, name).wait()
 
     def _start_if_down(self, name: str) -> None:
-        # Starting a process lets other tasks run: two of them that find it down would
-        # start it twice, and one of the two would never be ended.
-        with self._starting_by_name[name]:
+        # Other tasks run while a process is being started. If two of them found it down
+        # and started it, one of the two processes would never be stopped.
+        with self._start_locks_by_name[name]:
             known = self.processes.processes_by_name.get(name)
             if known is None or not known.is_running():
                 self._start(name)
@@ -180,7 +187,7 @@
     def _start(self, name: str) -> None:
         host = self.hosts_by_name[name]
         settings_path = self._folder / f"{name}.toml"
-        # In one step: half a file would end the process that reads it.
+        # Renamed into place, because a process that reads half a file exits.
         part = settings_path.with_suffix(".part")
         part.write_text(standins.settings_text(host))
         part.rename(settings_path)
@@ -188,12 +195,14 @@
         clock_path = str(self._folder / f"{name}.clock")
         command = [sys.executable, script, str(settings_path), host.own_ip, clock_path]
         self.processes.start(name, command)
-        # Only the first start of all founds the groups.
+        # Only the first start bootstraps the groups.
         self.hosts_by_name[name] = attrs.evolve(host, is_first_start=False)
 
     def heal(self) -> None:
-        """End all faults, and start what is down."""
-        # What a fault holds down at this moment has not ended by itself.
+        """End all faults and start the processes and upstreams that are down."""
+        # `watch` must not report a process that a fault has stopped as one that exited
+        # by itself. Killed tasks remove their processes from `_down`, so it is filled
+        # again after they were killed.
         self._down.update(self.hosts_by_name)
         for task in self._tasks:
             task.kill()
@@ -216,30 +225,30 @@
                 upstream.start()
 
     def watch(self) -> None:
-        """Start again each process that has ended by itself (a task)."""
+        """Restart each process that has exited by itself (body of a task)."""
         while True:
             eventlet.sleep(0.3)
             for name, process in self.processes.processes_by_name.items():
                 if name not in self._down and not process.is_running():
                     exit_code = process.popen.returncode
-                    self._ledger.ended_by_itself(name, exit_code, clock.now())
+                    self._ledger.record_unexpected_exit(name, exit_code, clock.now())
                     self._start_process(name)
 
     # Faults
 
     def inject(self, fault: soak_faults.Fault) -> None:
-        """Begin a fault; it ends by itself."""
+        """Start a task that applies a fault and ends it after its duration."""
         if fault.target == soak_faults.LEADER:
             fault = attrs.evolve(fault, target=self.leader())
         self._tasks.append(eventlet.spawn(self._inject, fault))
 
     def _inject(self, fault: soak_faults.Fault) -> None:
-        disturbance = eventlet.spawn(self._disturb, fault.seconds)
+        disturbance = eventlet.spawn(self._record_disturbances, fault.seconds)
         kind = fault.kind
         if kind in soak_faults.LINK_KINDS:
-            self._harm_links(fault)
+            self._apply_link_fault(fault)
         elif kind in soak_faults.UPSTREAM_KINDS:
-            self._harm_upstream(fault)
+            self._apply_upstream_fault(fault)
         elif kind is soak_faults.Kind.KILL_ALL:
             self._kill(list(self.hosts_by_name), fault)
         elif kind is soak_faults.Kind.KILL_ROLE:
@@ -253,12 +262,12 @@
         ):
             self._kill([fault.target], fault)
         else:
-            self._harm_running(fault)
+            self._apply_process_fault(fault)
         disturbance.wait()
-        self._ledger.disturbed(clock.now())
+        self._ledger.record_disturbance(clock.now())
 
     def leader(self) -> str:
-        """Return the store that leads, as far as engines know."""
+        """Return the leading store as far as the engines know, else the first store."""
         stores = [
             each
             for each in self.hosts_by_name.values()
@@ -268,10 +277,10 @@
         named = [each.name for each in stores if each.public_ip == address]
         return [*named, stores[0].name][0]
 
-    def _disturb(self, seconds: float) -> None:
+    def _record_disturbances(self, seconds: float) -> None:
         end = clock.now() + seconds
         while clock.now() < end:
-            self._ledger.disturbed(clock.now())
+            self._ledger.record_disturbance(clock.now())
             eventlet.sleep(0.2)
 
     def _kill(self, names: list[str], fault: soak_faults.Fault) -> None:
@@ -284,14 +293,14 @@
                     self.processes[name].terminate(_TERMINATE_SECONDS)
                 self.processes[name].kill()
             for name in names:
-                self._harm_disk(name, fault.kind)
+                self._damage_disk(name, fault.kind)
             eventlet.sleep(fault.seconds)
             for name in names:
                 self._start_process(name)
         finally:
             self._down.difference_update(names)
 
-    def _harm_disk(self, name: str, kind: soak_faults.Kind) -> None:
+    def _damage_disk(self, name: str, kind: soak_faults.Kind) -> None:
         folder = pathlib.Path(self.hosts_by_name[name].data_folder)
         if kind is soak_faults.Kind.WIPE:
             shutil.rmtree(folder, ignore_errors=True)
@@ -301,7 +310,7 @@
                 with logs[-1].open("ab") as file:
                     file.write(_TORN_BYTES)
 
-    def _harm_running(self, fault: soak_faults.Fault) -> None:
+    def _apply_process_fault(self, fault: soak_faults.Fault) -> None:
         process = self.processes[fault.target]
         if fault.kind is soak_faults.Kind.PAUSE:
             process.freeze()
@@ -321,7 +330,7 @@
             return self.links_by_name[name]
         return [self.upstreams_by_name[name].link]
 
-    def _harm_links(self, fault: soak_faults.Fault) -> None:
+    def _apply_link_fault(self, fault: soak_faults.Fault) -> None:
         links = self._links_of(fault.target)
         states = {
             soak_faults.Kind.SILENCE: soak_links.State.SILENT,
@@ -341,7 +350,7 @@
         for link in links:
             link.heal()
 
-    def _harm_upstream(self, fault: soak_faults.Fault) -> None:
+    def _apply_upstream_fault(self, fault: soak_faults.Fault) -> None:
         upstream = self.upstreams_by_name[fault.target]
         if not upstream.is_up:
             return
--- a/misc/soaks/soak_upstreams.py
+++ b/misc/soaks/soak_upstreams.py
@@ -1,6 +1,7 @@
-"""Stand-in upstreams of the soak: engines that generate, and a plain service.
+"""Stand-in upstreams of the soak: engines that generate texts, and a plain service.
 
-They tell the ledger each request that they get and run, and each event that they make.
+They record in the ledger each request that they receive or run, and each event that
+they make.
 """
 
 import random
@@ -14,21 +15,22 @@
 from misc.soaks import soak_ledger, soak_links, soak_runs, soak_streams
 from tests.fakes import scripted
 
-SLOTS: Final = 6
+CAPACITY: Final = 6
 LOAD_SECONDS: Final = 0.25
 ANNOUNCE_SECONDS: Final = 0.5
 SLOW_FACTOR: Final = 6.0
-# Time until an upstream that a request has ended starts again.
+# Time until an upstream that a request has crashed is restarted.
 DOWN_SECONDS: Final = 1.0
-# Share of the scoring requests that the service fails at.
-FAILED_SHARE: Final = 0.1
-# Share of the announcements that another program follows up with one of its own.
-WRONG_SHARE: Final = 0.2
+# Share of the scoring requests that the service answers with status 500.
+FAILED_SCORING_SHARE: Final = 0.1
+# Share of the announcements that are followed by an invalid one, as from an unrelated
+# program.
+INVALID_SHARE: Final = 0.2
 _MODEL: Final = "m"
 
 
 class Upstream:
-    """One incarnation after the other at one address, behind a link."""
+    """An upstream at one link address; each start begins a new incarnation."""
 
     def __init__(
         self,
@@ -43,32 +45,32 @@
         self._service = service
         self._link_ip = link_ip
         self._ledger = ledger
-        # Sends a call to some control process; tells whether it was acknowledged.
+        # Sends a call to some control process; returns whether it was acknowledged.
         self._announce = announce
-        self._n_lives = 0
+        self._n_incarnations = 0
         self._server: scripted.Scripted | None = None
         self._tasks: list[Any] = []
         self.slow_factor = 1.0
         self.version = 1
         self._is_stopped = False
-        # Every second upstream starts again under its name and tells its start; the
-        # others have a new name each time, and don't.
+        # Every second upstream announces the same id after each start, with its start
+        # time. The others announce a new id for each incarnation, and no start time.
         self._keeps_name = int(name.rpartition("-")[2]) % 2 == 0
         self._started_at_ms: int | None = None
 
     @property
     def upstream_id(self) -> str:
-        """The incarnation's id, for the ledger."""
-        return f"{self.name}-{self._n_lives}"
+        """The id of the incarnation in the ledger."""
+        return f"{self.name}-{self._n_incarnations}"
 
     @property
     def announced_id(self) -> str:
-        """The name under which it announces itself."""
+        """The id that the upstream announces."""
         return self.name if self._keeps_name else self.upstream_id
 
     def start(self) -> None:
-        """Begin a new life."""
-        self._n_lives += 1
+        """Start a new incarnation."""
+        self._n_incarnations += 1
         if self._keeps_name:
             self._started_at_ms = int(time.time() * 1000)
         self.slow_factor = 1.0
@@ -84,10 +86,10 @@
             self.link = soak_links.Link((self._link_ip, 0), (host, int(port)))
         else:
             self.link.retarget((host, int(port)))
-        self._tasks = [eventlet.spawn(self._renew)]
+        self._tasks = [eventlet.spawn(self._announce_repeatedly)]
 
     def crash(self) -> None:
-        """End without a word."""
+        """Stop without announcing it."""
         for task in self._tasks:
             task.kill()
         self._tasks = []
@@ -98,31 +100,31 @@
             self.link.close()
 
     def crash_for(self, seconds: float) -> None:
-        """End without a word, and start again after a while."""
+        """Stop without announcing it, and restart after `seconds`."""
         self.crash()
-        eventlet.spawn_after(seconds, self._start_again)
+        eventlet.spawn_after(seconds, self._restart)
 
-    def _start_again(self) -> None:
+    def _restart(self) -> None:
         if not self.is_up and not self._is_stopped:
             self.start()
 
     def stop(self) -> None:
-        """End for good."""
+        """Stop and do not restart."""
         self._is_stopped = True
         self.crash()
 
     def leave(self) -> None:
-        """Say that it leaves; it goes on serving."""
+        """Announce the departure from the next announcement on; continue to serve."""
         self._is_leaving = True
 
     @property
     def is_up(self) -> bool:
-        """Whether it serves."""
+        """Whether the upstream serves."""
         return self._server is not None
 
     # Announcements
 
-    def _renew(self) -> None:
+    def _announce_repeatedly(self) -> None:
         while True:
             self._sequence += 1
             versions = {_MODEL: self.version} if self._generates else {}
@@ -132,7 +134,7 @@
                 self._service,
                 self.link.address,
                 "zone",
-                SLOTS,
+                CAPACITY,
                 self._sequence,
                 self._is_leaving,
                 versions,
@@ -140,15 +142,15 @@
             )
             is_leaving = self._is_leaving
             if self._announce(standins.announce(announcement)) and is_leaving:
-                self._ledger.left(self.upstream_id, clock.now())
-            # Services are known once there is a policy.
-            if self._ledger.policy_version and random.random() < WRONG_SHARE:
-                self._announce_wrongly(announcement)
+                self._ledger.record_departure(self.upstream_id, clock.now())
+            # An unknown service can be rejected only once a policy lists the services.
+            if self._ledger.policy_version and random.random() < INVALID_SHARE:
+                self._announce_invalidly(announcement)
             eventlet.sleep(ANNOUNCE_SECONDS)
 
-    def _announce_wrongly(self, announcement: standins.Announcement) -> None:
+    def _announce_invalidly(self, announcement: standins.Announcement) -> None:
         call = standins.announce_wrongly(announcement, random.Random())
-        self._ledger.announced_wrongly(call.body, self._announce(call))
+        self._ledger.record_invalid_announcement(call.body, self._announce(call))
 
     @property
     def _generates(self) -> bool:
@@ -170,12 +172,14 @@
             )
             return self._send(connection, 200, body, {})
         if received.target == standins.ORDER_TARGET:
-            return self._order(connection, received)
+            return self._handle_order(connection, received)
         batch_id = received.headers.get(soak_ledger.BATCH_HEADER.lower(), "")
-        self._ledger.received(self.upstream_id, work.request_id, clock.now(), batch_id)
+        self._ledger.record_request(
+            self.upstream_id, work.request_id, clock.now(), batch_id
+        )
         claim = standin_accounts.claim(received.headers)
-        self._ledger.accounts.ran(work.request_id, claim)
-        if self._n_running >= SLOTS:
+        self._ledger.accounts.record_run(work.request_id, claim)
+        if self._n_running >= CAPACITY:
             headers = standins.answer_headers(work.request_id)
             headers.update(standins.NOT_RUN_HEADERS)
             return self._send(connection, 503, b"", headers)
@@ -198,19 +202,19 @@
         self, connection: Any, received: scripted.Received, work: standins.Work
     ) -> None:
         if received.body == soak_ledger.CRASHING_BODY:
-            self._ledger.crashing_reached(work.request_id, clock.now())
+            self._ledger.record_crashing_attempt(work.request_id, clock.now())
         if received.target.startswith("/once/"):
-            self._ledger.ran_once_only(work.request_id, self.upstream_id)
-        self._ledger.scored(work.request_id)
+            self._ledger.record_once_only_run(work.request_id, self.upstream_id)
+        self._ledger.record_scoring_request(work.request_id)
         eventlet.sleep(random.uniform(0.005, 0.03) * self.slow_factor)
         if received.body == soak_ledger.CRASHING_BODY:
-            self._ledger.crashed_by_request(clock.now())
-            # Not from here: this task ends with the process.
+            self._ledger.record_crash_by_request(clock.now())
+            # In another task: `crash` also kills the task that serves this request.
             eventlet.spawn_n(self.crash_for, DOWN_SECONDS)
             return None
         headers = standins.answer_headers(work.request_id)
         is_scoring = bool(soak_ledger.scored_item(work.request_id))
-        status = 500 if is_scoring and random.random() < FAILED_SHARE else 200
+        status = 500 if is_scoring and random.random() < FAILED_SCORING_SHARE else 200
         self._send(connection, status, work.request_id.encode(), headers)
 
     def _stream(
@@ -231,21 +235,21 @@
             clock.now(),
         )
         plan = soak_streams.draw(run, len(runs.of(work.request_id)))
-        if plan.trouble is not None:
-            self._ledger.counts[f"runs {plan.trouble.value}"] += 1
+        if plan.fault is not None:
+            self._ledger.counts[f"runs {plan.fault.value}"] += 1
         stream = soak_streams.Stream(connection, run, plan)
         return stream.send(
             work.request_id,
             lambda: self.version,
             lambda: shape.pause_seconds * self.slow_factor,
-            lambda: self._ledger.goes_on(run, clock.now()),
+            lambda: self._ledger.check_run(run, clock.now()),
         )
 
     # Orders
 
-    def _order(self, connection: Any, received: scripted.Received) -> None:
+    def _handle_order(self, connection: Any, received: scripted.Received) -> None:
         order = standins.order_given(received.body)
-        self._ledger.ordered(self.upstream_id, order)
+        self._ledger.record_order(self.upstream_id, order)
         status = self._order_status(order)
         self._send(connection, status, b"", {})
 
--- a/tests/soak_support.py
+++ b/tests/soak_support.py
@@ -1,4 +1,4 @@
-"""Short runs of a soak, for tests."""
+"""Base class for tests that run the soak for a short time."""
 
 import pathlib
 import subprocess
@@ -9,7 +9,7 @@
 
 
 class RunCase(unittest.TestCase):
-    """Short runs of the real processes."""
+    """Test case that runs one seed of the soak with the real processes."""
 
     def run_seed(self, seed, seconds):
         script = str(ROOT / "misc" / "soak")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,10 +1,10 @@
-"""A short run of the soak. What it draws and finds has modules of its own."""
+"""A short run of the soak; its parts are tested in the `test_soak_*` modules."""
 
 from tests import soak_support
 
 
 class Run(soak_support.RunCase):
-    """Short runs of the real processes."""
+    """A short run of the real processes has no findings."""
 
     def test_one_seed(self):
         self.run_seed(3, 6.0)
--- a/tests/test_soak_accounts.py
+++ b/tests/test_soak_accounts.py
@@ -1,4 +1,4 @@
-"""What a soak finds of accounts, their keys and the reports of their use."""
+"""Findings of a soak about account keys and usage reports."""
 
 import pathlib
 import sys
@@ -15,35 +15,35 @@
 
 
 class Accounts(unittest.TestCase):
-    """Keys that die, claims that are forged, and reports that differ are found."""
+    """Uses of revoked keys, wrong accounts and contradictory reports are found."""
 
     def setUp(self):
         self.found = []
         self.accounts = soak_accounts.Accounts(self.found.append)
-        self.accounts.put(soak_accounts.accounts_of(3), 0.0)
-        self.accounts.put(soak_accounts.accounts_of(9), 100.0)
+        self.accounts.record_accounts(soak_accounts.accounts_of(3), 0.0)
+        self.accounts.record_accounts(soak_accounts.accounts_of(9), 100.0)
 
-    def ran(self, account="desk", has_key=False):
+    def record_run(self, account="desk", has_key=False):
         claim = standin_accounts.Claim(account, has_key)
-        self.accounts.ran("r", claim)
+        self.accounts.record_run("r", claim)
 
     @tools.params(
-        ("a key in force", "key-9", 200.0, "desk", False, 0),
-        ("a dead key within the bound", "key-3", 104.9, "desk", False, 0),
-        ("a dead key", "key-3", 105.1, "desk", False, 1),
+        ("a valid key", "key-9", 200.0, "desk", False, 0),
+        ("a revoked key within the bound", "key-3", 104.9, "desk", False, 0),
+        ("a revoked key", "key-3", 105.1, "desk", False, 1),
         ("another account's name", "key-9", 200.0, "trainer", False, 1),
-        ("nobody's name", "key-9", 200.0, "", False, 1),
-        ("the key itself", "key-9", 200.0, "desk", True, 1),
+        ("no account name", "key-9", 200.0, "", False, 1),
+        ("the key in the headers", "key-9", 200.0, "desk", True, 1),
     )
     def test_requests(self, name, key, sent_at, account, has_key, n_found):
-        self.accounts.sent("r", key, sent_at)
-        self.ran(account, has_key)
+        self.accounts.record_sent("r", key, sent_at)
+        self.record_run(account, has_key)
         self.assertEqual(len(self.found), n_found, (name, self.found))
 
-    def test_items_are_the_trainers(self):
-        self.ran("trainer")
+    def test_items_belong_to_the_trainer(self):
+        self.record_run("trainer")
         self.assertEqual(self.found, [])
-        self.ran("desk")
+        self.record_run("desk")
         self.assertEqual(len(self.found), 1)
 
     @tools.params(
@@ -52,16 +52,16 @@
         ("key-3", 401, 0),
     )
     def test_refusals(self, key, status, n_found):
-        self.accounts.sent("r", key, 200.0)
-        self.accounts.answered("r", status)
+        self.accounts.record_sent("r", key, 200.0)
+        self.accounts.record_answer("r", status)
         self.assertEqual(len(self.found), n_found)
 
     @tools.params(
-        ("the same again, by another holder", (7, {"a": 1}, "c2", 5), 0),
-        ("other counts", (7, {"a": 2}, "c2", 5), 1),
-        ("a number of two holders", (8, {"a": 1}, "c2", 4), 1),
+        ("a repeated report from another holder", (7, {"a": 1}, "c2", 5), 0),
+        ("different counts", (7, {"a": 2}, "c2", 5), 1),
+        ("one number from two holders", (8, {"a": 1}, "c2", 4), 1),
     )
     def test_reports(self, name, second, n_found):
-        self.accounts.reported(standin_accounts.Report(7, {"a": 1}, "c1", 4))
-        self.accounts.reported(standin_accounts.Report(*second))
+        self.accounts.record_report(standin_accounts.Report(7, {"a": 1}, "c1", 4))
+        self.accounts.record_report(standin_accounts.Report(*second))
         self.assertEqual(len(self.found), n_found, (name, self.found))
--- a/tests/test_soak_faults.py
+++ b/tests/test_soak_faults.py
@@ -1,4 +1,4 @@
-"""The faults that a soak draws from its seed."""
+"""The drawing of a soak's faults from its seed."""
 
 import pathlib
 import sys
@@ -24,18 +24,18 @@
         self.assertEqual(first, soak_faults.draw(7, 30.0, TARGETS))
         self.assertNotEqual(first, soak_faults.draw(8, 30.0, TARGETS))
 
-    def test_all_kinds_come(self):
+    def test_all_kinds_are_drawn(self):
         drawn = [f for seed in range(20) for f in soak_faults.draw(seed, 30.0, TARGETS)]
         self.assertEqual({each.kind for each in drawn}, set(soak_faults.Kind))
 
-    def test_leader_is_killed_frozen_and_cut(self):
+    def test_kinds_of_leader_faults(self):
         drawn = [f for seed in range(20) for f in soak_faults.draw(seed, 30.0, TARGETS)]
         kinds = {e.kind for e in drawn if e.target == soak_faults.LEADER}
         expected = {*soak_faults.LEADER_KINDS} - {soak_faults.Kind.KILL_ALL}
         self.assertEqual(kinds, expected)
 
     def test_one_disk_of_a_group_at_a_time(self):
-        """A group of three bears one lost disk until its successor has caught up."""
+        """A group of three tolerates one lost disk until the replacement caught up."""
         for seed in range(50):
             wiped_at = {}
             for fault in soak_faults.draw(seed, 60.0, TARGETS):
--- a/tests/test_soak_site.py
+++ b/tests/test_soak_site.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: how they start, their errors and their networks."""
+"""The processes of a soak: their start, their logged errors and their networks."""
 
 import json
 import pathlib
@@ -19,13 +19,13 @@
 
 
 class Starting(unittest.TestCase):
-    """A process takes a while to start, and the task that starts it is ended."""
+    """A process is recorded even if the task that starts it is killed."""
 
     def test_no_process_is_left_behind(self):
-        """Healing ends the task of a fault between a start and its note.
+        """Healing kills a fault's task after it has started a process.
 
-        The process runs on and nobody knows of it: whoever starts the next one finds
-        its ports taken, until the end of the run and after it.
+        If the process were not recorded, it would keep running and hold its ports, and
+        each process started in its place would exit, also after the end of the run.
         """
         with tempfile.TemporaryDirectory() as folder:
             site = soak_site.Site(
@@ -52,20 +52,20 @@
 
 
 class Errors(unittest.TestCase):
-    """An error that a process met is found, also if it was replaced at once."""
+    """An exception in a process's log is found, whatever was restarted afterwards."""
 
     def test_errors(self):
         line = {"message_type": "eliot:traceback", "exception": "E", "reason": "why"}
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, "store-1.out")
-            whole = json.dumps(line)
-            path.write_text(f"not json\n{whole}\n{whole[:-9]}")
+            complete = json.dumps(line)
+            path.write_text(f"not json\n{complete}\n{complete[:-9]}")
             found = list(soak_site.errors(path.parent))
         self.assertEqual(found, [("store-1", "E: why")])
 
 
 class Leader(unittest.TestCase):
-    """Faults of the leader go to the store that sent the last order."""
+    """Faults of the leader are applied to the store that sent the last order."""
 
     @tools.params(("", "store-0"), ("127.19.2.5:7304", "store-1"))
     def test_leader(self, holder, expected):
@@ -75,12 +75,12 @@
             site = soak_site.Site(path, 19, soak_site.Sizes(), ledger, lambda _: True)
             self.addCleanup(site.stop)
             order = standins.OrderGiven("m", 2, holder, 7, 0)
-            ledger.ordered("e", order)
+            ledger.record_order("e", order)
             self.assertEqual(site.leader(), expected)
 
 
 class Running:
-    """Stands for a process that has not ended."""
+    """Stand-in for a running process."""
 
     def is_running(self):
         return True
@@ -97,15 +97,16 @@
 
 
 class Networks(unittest.TestCase):
-    """Soaks that run side by side have loopback networks of their own."""
+    """Concurrent soaks use different loopback networks."""
 
     def test_network_in_use_is_not_drawn(self):
-        """Two soaks drew the same network: each one's upstreams got the other's items.
+        """Two concurrent soaks must not use the same loopback network.
 
-        The lines of one named items of the other ("s31011-batch-3-11 was to be scored
-        before its text was whole", in seed 202), and its processes ended 418 times.
+        If they do, upstreams of one receive items of the other: seed 202 reported that
+        item s31011-batch-3-11 of seed 31011 was scored before its text was complete,
+        and its processes exited 418 times.
         """
-        # Soaks that run beside this test draw none of these.
+        # Soaks that run concurrently with this test draw from other numbers.
         numbers = range(18, 20)
         with soak_run.network(numbers) as first:
             with soak_run.network(numbers) as second:
