--- a/misc/__init__.py
+++ b/misc/__init__.py
@@ -1,1 +1,1 @@
-"""Scripts for developers: the demo and the measurements."""
+"""Scripts for developers: demo, measurements, soak and test runner."""
--- a/misc/environment.py
+++ b/misc/environment.py
@@ -1,6 +1,6 @@
 """Run a script in the checkout's own virtual environment.
 
-Uses nothing but the standard library: it runs before the environment exists.
+Uses only the standard library, because it runs before the environment exists.
 """
 
 import os
@@ -11,16 +11,17 @@
 
 REPOSITORY: Final = pathlib.Path(__file__).resolve().parent.parent
 VENV: Final = REPOSITORY / ".venv"
-# Made last by the installation; its absence means that there is none, or half a one.
+# Last file that the installation creates. If it is missing, the environment is missing
+# or incomplete.
 MARKER: Final = VENV / "bin" / "bilberrydrumd"
 
 
 def reexecute() -> None:
-    """Make the environment if there is none, and start the script again in it."""
+    """Create the environment if it is missing, and run the script again in it."""
     if pathlib.Path(sys.prefix).resolve() == VENV:
         return
     if not MARKER.exists():
-        print(f"making {VENV}", file=sys.stderr)
+        print(f"creating {VENV}", file=sys.stderr)
         subprocess.run([sys.executable, "-m", "venv", str(VENV)], check=True)
         pip = [str(VENV / "bin" / "pip"), "install", "--quiet"]
         options = ["--disable-pip-version-check", "-e", str(REPOSITORY)]
--- a/misc/loopback.py
+++ b/misc/loopback.py
@@ -1,46 +1,47 @@
 """Loopback ports for the processes of a demo, a measurement or a test.
 
-A port is held by the process that drew it until that process ends, whether or not
-anything listens there: several runs share a machine, and between the drawing and the
-start, or while a killed process is down, another run would find the port free and take
-it. The claim is the name of a Unix socket in the kernel's abstract namespace, which one
-process at a time can bind and which goes with its process.
+A port is reserved by the process that drew it until that process exits, whether or not
+anything listens on the port. Several runs share a machine: without the reservation,
+another run would find the port free and take it before the first run listens on it, or
+while a killed process of the first run is down. The reservation is the name of a Unix
+socket in the kernel's abstract namespace. Only one process at a time can bind such a
+name, and the kernel frees it when the process exits.
 """
 
 import random
 import socket
 from typing import Final
 
-# Listening ports are taken from below the range that the kernel gives to outgoing
-# connections: a port probed there could be taken by such a connection at any moment.
+# Listening ports are below the range that the kernel gives to outgoing connections. A
+# free port in that range could be taken by such a connection at any moment.
 FIRST_PORT: Final = 20_000
 LAST_PORT: Final = 32_000
 
-_CLAIMS_BY_PORT: Final[dict[int, socket.socket]] = {}
+_RESERVATIONS_BY_PORT: Final[dict[int, socket.socket]] = {}
 
 
 def free_ports(n_ports: int) -> list[int]:
-    """Return `n_ports` different ports on which nothing listens, held from now on."""
+    """Reserve and return `n_ports` different ports on which nothing listens."""
     ports: list[int] = []
     source = random.SystemRandom()
     while len(ports) < n_ports:
         port = source.randint(FIRST_PORT, LAST_PORT)
-        if _can_bind(port) and _claim(port):
+        if _can_bind(port) and _reserve(port):
             ports.append(port)
     return ports
 
 
-def _claim(port: int) -> bool:
-    """Hold a port against other runs; tell whether nobody had drawn it before."""
-    if port in _CLAIMS_BY_PORT:
+def _reserve(port: int) -> bool:
+    """Reserve a port; return False if this or another process has reserved it."""
+    if port in _RESERVATIONS_BY_PORT:
         return False
-    claim = socket.socket(socket.AF_UNIX)
+    reservation = socket.socket(socket.AF_UNIX)
     try:
-        claim.bind(f"\0bilberrydrum-port-{port}")
+        reservation.bind(f"\0bilberrydrum-port-{port}")
     except OSError:
-        claim.close()
+        reservation.close()
         return False
-    _CLAIMS_BY_PORT[port] = claim
+    _RESERVATIONS_BY_PORT[port] = reservation
     return True
 
 
--- a/misc/processes.py
+++ b/misc/processes.py
@@ -1,8 +1,8 @@
 """Start, stop and watch the processes of a demo, a measurement or a test.
 
-Processes are ended by their process id, each one that was started and no other. A
-process gets a session of its own, so that an interrupt from the terminal reaches only
-the script, which then ends its processes in order.
+Signals are sent by process id, and only to processes that were started here. Each
+process gets a new session, so that an interrupt from the terminal reaches only the
+script, which then stops its processes in order.
 """
 
 import contextlib
@@ -24,59 +24,59 @@
 POLL_SECONDS: Final = 0.05
 
 
-class _Exit:
-    """The exit that a signal asks for, put off while it would leave things behind."""
+class _DeferrableExit:
+    """An exit requested by a signal, deferred while it would leave processes behind."""
 
     def __init__(self) -> None:
-        self._n_put_off = 0
+        self._n_deferrals = 0
         self._number = 0
 
-    def ask(self, number: int) -> None:
-        """Exit for a signal, now or once nothing puts it off."""
+    def request(self, number: int) -> None:
+        """Exit for a signal, at once or when no block defers it any more."""
         self._number = number
-        self._exit_if_asked()
+        self._exit_if_requested()
 
     @contextlib.contextmanager
-    def put_off(self) -> Iterator[None]:
-        """Put the exit off to the end of the block."""
-        self._n_put_off += 1
+    def defer(self) -> Iterator[None]:
+        """Defer the exit to the end of the block."""
+        self._n_deferrals += 1
         try:
             yield
         finally:
-            self._n_put_off -= 1
-            self._exit_if_asked()
+            self._n_deferrals -= 1
+            self._exit_if_requested()
 
-    def _exit_if_asked(self) -> None:
-        if self._number and not self._n_put_off:
+    def _exit_if_requested(self) -> None:
+        if self._number and not self._n_deferrals:
             number, self._number = self._number, 0
             raise SystemExit(128 + number)
 
 
-_EXIT: Final = _Exit()
+_EXIT: Final = _DeferrableExit()
 
 
 class ConditionTimeoutError(Exception):
-    """A condition did not come true in time, or a process ended before it did."""
+    """A condition was not met in time, or a process exited before it was met."""
 
 
 def wait_for(condition: Callable[[], bool], timeout: float, what: str) -> float:
-    """Wait until `condition` holds; return the seconds that it took.
+    """Wait until `condition` is true; return the time that it took, in seconds.
 
     Raises
     ------
     ConditionTimeoutError
-        If it does not hold within `timeout` seconds.
+        If it is not true within `timeout` seconds.
     """
     start = time.monotonic()
     while not condition():
         if time.monotonic() - start > timeout:
-            raise ConditionTimeoutError(f"not within {timeout:g} s: {what}")
+            raise ConditionTimeoutError(f"timed out after {timeout:g} s: {what}")
         time.sleep(POLL_SECONDS)
     return time.monotonic() - start
 
 
 def http_status(address: str, path: str, timeout: float = 1.0) -> int:
-    """Return the status of ``GET http://address/path``; 0 if nobody answers."""
+    """Return the status of ``GET http://address/path``, or 0 if there is no answer."""
     try:
         answer = urllib3.request(
             "GET", f"http://{address}{path}", timeout=timeout, retries=False
@@ -101,7 +101,7 @@
         return self.popen.pid
 
     def is_running(self) -> bool:
-        """Tell whether the process has not ended; a frozen one has not."""
+        """Return whether the process has not exited; a frozen one has not."""
         return self.popen.poll() is None
 
     def log_tail(self, n_lines: int = 20) -> str:
@@ -110,29 +110,29 @@
         return "\n".join(lines[-n_lines:])
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal unless the process has ended."""
+        """Send a signal unless the process has exited."""
         if self.is_running():
             self.popen.send_signal(number)
 
     def kill(self) -> None:
-        """End the process at once, as a crash would."""
+        """Kill the process at once, as in a crash."""
         self.send(signal.SIGKILL)
         self.popen.wait()
 
     def freeze(self) -> None:
-        """Stop the process where it is; its connections stay open."""
+        """Suspend the process with SIGSTOP; its connections stay open."""
         self.send(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a frozen process."""
         self.send(signal.SIGCONT)
 
     def hang_up(self) -> None:
-        """Ask the process to read its settings again."""
+        """Send SIGHUP, on which a process reads its settings again."""
         self.send(signal.SIGHUP)
 
     def terminate(self, timeout: float) -> int | None:
-        """Ask the process to end; return its exit code, None if it did not end."""
+        """Send SIGTERM; return the exit code, or None if the process did not exit."""
         self.send(signal.SIGTERM)
         try:
             return self.popen.wait(timeout)
@@ -141,7 +141,7 @@
 
 
 class Processes:
-    """The processes of one run, by name; ends all of them on exit."""
+    """The processes of one run, by name; leaving the context stops all of them."""
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
@@ -162,16 +162,17 @@
         return self.processes_by_name[name]
 
     def start(self, name: str, arguments: Sequence[str]) -> Process:
-        """Start a process; what it prints is added to ``<name>.out``.
+        """Start a process; its output is appended to ``<name>.out``.
 
-        Starting a name again replaces the ended process of that name.
+        A process that has exited is replaced by a new one of the same name.
         """
         earlier = self.processes_by_name.get(name)
         if earlier is not None and earlier.is_running():
             raise ValueError(f"{name} is still running")
         log_path = self.folder / f"{name}.out"
-        # A signal in between would end the script before it knows of the process.
-        with log_path.open("ab") as log, _EXIT.put_off():
+        # If a signal ended the script before the process is recorded, the process would
+        # keep running.
+        with log_path.open("ab") as log, _EXIT.defer():
             popen = subprocess.Popen(
                 arguments,
                 stdin=subprocess.DEVNULL,
@@ -190,33 +191,33 @@
         return self.start(name, module_command(module, *arguments))
 
     def restart(self, name: str) -> Process:
-        """Start an ended process again with the arguments that it had."""
+        """Start a process that has exited again, with the same arguments."""
         return self.start(name, self.processes_by_name[name].arguments)
 
     def describe(self, n_lines: int = 5) -> str:
-        """Return each process's state and the last lines that it printed."""
+        """Return the state and the last lines of output of each process."""
         parts = []
         for process in self.processes_by_name.values():
             code = process.popen.poll()
-            state = "runs" if code is None else f"ended with {code}"
+            state = "runs" if code is None else f"exited with {code}"
             parts.append(f"{process.name} {state}\n{process.log_tail(n_lines)}")
         return "\n".join(parts)
 
     def wait_until_ready(
         self, name: str, address: str, path: str = "/readyz", timeout: float = 60.0
     ) -> float:
-        """Wait until ``GET address path`` answers 200; return the seconds taken."""
+        """Wait until ``GET address path`` answers 200; return the time in seconds."""
         process = self.processes_by_name[name]
 
         def is_ready() -> bool:
             if not process.is_running():
-                raise ConditionTimeoutError(f"{name} ended:\n{process.log_tail()}")
+                raise ConditionTimeoutError(f"{name} exited:\n{process.log_tail()}")
             return http_status(address, path) == 200
 
         return wait_for(is_ready, timeout, f"{name} ready at {address}{path}")
 
     def stop_all(self, grace_seconds: float = 5.0) -> None:
-        """End every process: first asked to, killed after the grace time."""
+        """Stop all processes with SIGTERM; kill those left after the grace time."""
         running = [
             process
             for process in self.processes_by_name.values()
@@ -239,24 +240,24 @@
 
 
 def exit_on_signals() -> None:
-    """Turn the signals that ask for an end into an exit that ends the processes.
+    """Make termination signals raise SystemExit, so that all processes are stopped.
 
-    Later ones are ignored: a second interrupt would break off the ending and leave
-    processes behind.
+    Later signals are ignored. A second interrupt would otherwise abort the shutdown and
+    leave processes behind.
     """
-    ending = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
+    signals = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
 
     def handle(number: int, _frame: object) -> None:
-        for each in ending:
+        for each in signals:
             signal.signal(each, signal.SIG_IGN)
-        _EXIT.ask(number)
+        _EXIT.request(number)
 
-    for each in ending:
+    for each in signals:
         signal.signal(each, handle)
 
 
 def run_tool(arguments: Sequence[str], timeout: float) -> tuple[int, str, str]:
-    """Run a short command; return its exit code and what it printed."""
+    """Run a short command; return its exit code, stdout and stderr."""
     done = subprocess.run(
         arguments,
         stdin=subprocess.DEVNULL,
@@ -271,7 +272,7 @@
 
 
 def _environment() -> dict[str, str]:
-    """Return the environment of a process: the repository's modules come first."""
+    """Return the environment of a process, with the repository first in PYTHONPATH."""
     environment = dict(os.environ)
     earlier = environment.get("PYTHONPATH", "")
     environment["PYTHONPATH"] = os.pathsep.join(
--- a/misc/run_tests.py
+++ b/misc/run_tests.py
@@ -1,11 +1,11 @@
-"""Run the tests with nose2 and end with one line that counts them.
+"""Run the tests with nose2 and print a closing line with the numbers of tests.
 
-Each test module runs in a process of its own, a few at a time: modules then share no
-metrics, hub or open sockets, so the verdict does not depend on their order.
+Each test module runs in its own process, a few at a time. Modules then share no
+metrics, hub or open sockets, so the result does not depend on their order.
 
-Tests named in KNOWN-RED.txt fail for a fault that is known and not mended yet. They
-run all the same; their failures are printed and passed over, and one that passes
-again fails the run, so that its line is removed.
+Tests listed in KNOWN-RED.txt fail because of a known fault that is not fixed yet. They
+are run as well; their failures are printed but do not fail the run. If one of them
+passes, a complete run fails, so that its line is removed.
 """
 
 import argparse
@@ -25,18 +25,20 @@
 
 ROOT: Final = pathlib.Path(__file__).resolve().parent.parent
 MAX_KNOWN_RED: Final = 3
-# Modules that run at a time; tests with real processes leave little for more.
+# Number of modules that run concurrently. Tests that start real processes leave too
+# little processor time for more.
 N_WORKERS: Final = max(1, min(4, (os.cpu_count() or 1) // 2))
-# A module that hangs fails the run instead of stopping it.
+# A module that hangs is killed after this time and counts as failed.
 MODULE_TIMEOUT_SECONDS: Final = 240.0
-# So long before, a module that hangs says where: nose2 prints nothing until its end.
+# After this time a module prints the stacks of its threads. nose2 prints nothing until
+# the end, so a module that hangs would otherwise be killed without any output.
 STACKS_SECONDS: Final = MODULE_TIMEOUT_SECONDS - 5.0
 N_SLOWEST: Final = 5
 
 
 @attrs.define
 class Tally:
-    """Counts the outcomes of one module."""
+    """Counts of the outcomes of one module's tests."""
 
     module: str
     n_passed: int = 0
@@ -45,18 +47,18 @@
     seconds: float = 0.0
 
     def testOutcome(self, event: Any) -> None:  # noqa: N802
-        """Take one outcome; the name is nose2's."""
+        """Count one outcome. nose2 requires this name."""
         if event.outcome == "skipped":
             self.n_skipped += 1
         elif event.exc_info is not None:
             self.failed_ids.append(base_id(event.test))
-            _print_at_once(event)
+            _print_failure(event)
         elif event.outcome == "passed":
             self.n_passed += 1
 
 
-def _print_at_once(event: Any) -> None:
-    """Print why a test failed; a module that hangs later would not come to say it."""
+def _print_failure(event: Any) -> None:
+    """Print a failure at once: if the module hangs later, nose2 never prints it."""
     print(f"\n{event.test.id()}", file=sys.stderr)
     traceback.print_exception(*event.exc_info)
     sys.stderr.flush()
@@ -81,8 +83,8 @@
     return [f"tests.{path.stem}" for path in sorted((ROOT / "tests").glob("test_*.py"))]
 
 
-def run_here(name: str, report: str) -> int:
-    """Run one module, or one test of it, in this process; write its tally."""
+def run_in_process(name: str, report: str) -> int:
+    """Run one module or one of its tests in this process; write its tally to a file."""
     sys.path.insert(0, str(ROOT))
     faulthandler.dump_traceback_later(STACKS_SECONDS)
     tally = Tally(name)
@@ -98,8 +100,8 @@
     return 0
 
 
-def run_apart(name: str) -> Tally:
-    """Run one module in a process of its own and print what it printed."""
+def run_in_subprocess(name: str) -> Tally:
+    """Run one module in a subprocess; print its output if a test failed."""
     read_end, write_end = os.pipe()
     with os.fdopen(read_end) as report:
         arguments = ["--here", f"/dev/fd/{write_end}", name]
@@ -116,7 +118,7 @@
             )
             printed = done.stdout
         except subprocess.TimeoutExpired as error:
-            printed = (error.stdout or b"") + b"\nended: it ran for too long\n"
+            printed = (error.stdout or b"") + b"\nkilled: the module timed out\n"
         finally:
             os.close(write_end)
         text = report.read()
@@ -132,26 +134,28 @@
     """Run all tests, or the modules and tests named on the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--here", metavar="FILE", help="run in this process")
-    parser.add_argument("names", nargs="*", help="as in tests.test_edge")
+    parser.add_argument(
+        "names", nargs="*", help="modules or tests, such as tests.test_edge"
+    )
     parsed = parser.parse_args()
     if parsed.here:
-        return run_here(parsed.names[0], parsed.here)
+        return run_in_process(parsed.names[0], parsed.here)
     known_red = read_known_red()
     if len(known_red) > MAX_KNOWN_RED:
-        print(f"KNOWN-RED.txt names more than {MAX_KNOWN_RED} tests")
+        print(f"KNOWN-RED.txt lists more than {MAX_KNOWN_RED} tests")
         return 1
     names = parsed.names or find_modules()
     with concurrent.futures.ThreadPoolExecutor(N_WORKERS) as pool:
-        tallies = list(pool.map(run_apart, names))
-    return judge(tallies, known_red, is_whole=not parsed.names)
+        tallies = list(pool.map(run_in_subprocess, names))
+    return print_summary(tallies, known_red, is_complete=not parsed.names)
 
 
-def judge(tallies: list[Tally], known_red: set[str], is_whole: bool) -> int:
+def print_summary(tallies: list[Tally], known_red: set[str], is_complete: bool) -> int:
     """Print the closing lines; return the exit code."""
     for tally in sorted(tallies, key=lambda each: -each.seconds)[:N_SLOWEST]:
         print(f"slowest: {tally.module} {tally.seconds:.1f} s")
     failed_ids = [test_id for tally in tallies for test_id in tally.failed_ids]
-    passed_again = known_red - set(failed_ids) if is_whole else set()
+    passed_again = known_red - set(failed_ids) if is_complete else set()
     for test_id in sorted(set(failed_ids) & known_red):
         print(f"known red: {test_id}")
     for test_id in sorted(passed_again):
