--- a/misc/soaks/soak_accounts.py
+++ b/misc/soaks/soak_accounts.py
@@ -84,7 +84,9 @@
         if status == 401 and sent is not None and sent.key in (DESK_KEY, TRAINER_KEY):
             self._add_finding(f"{request_id} was refused with 401 with a valid key")
 
-    def record_run(self, request_id: str, claim: standin_accounts.Claim) -> None:
+    def record_run(
+        self, request_id: str, claim: standin_accounts.CallerIdentity
+    ) -> None:
         """Check the account and the key of a request that has reached an upstream.
 
         A request that `record_sent` does not know is one of a batch and belongs to the
@@ -137,7 +139,7 @@
         self._server.stop()
 
     def _handle(self, connection: Any, received: scripted.Received) -> Any:
-        report = standin_accounts.report(received.headers, received.body)
+        report = standin_accounts.read_report(received.headers, received.body)
         chance = random.random()
         if chance < _BUSY_SHARE:
             return self._answer(connection, received, "429 X")
--- a/misc/soaks/soak_clients.py
+++ b/misc/soaks/soak_clients.py
@@ -256,7 +256,7 @@
                 self._await_groups(batch, draw_wait_seconds(self._trainer_rng))
                 resubmitted = self._items_to_resubmit(batch)
                 open_ids.append(batch.batch_id)
-            if self.send_to_control(standins.name_version(MODEL, version + 1)):
+            if self.send_to_control(standins.publish_version(MODEL, version + 1)):
                 self._ledger.record_version(MODEL, version + 1)
             # The next step submits the incomplete groups again at once, while the runs
             # of the ended batch are being cancelled.
@@ -328,7 +328,9 @@
         call = standins.read_results(HOST, batch_id, position, key)
         answer = send_once(self._rng.choice(self._gateways), call)
         if answer.status == 200:
-            self._ledger.record_page(batch_id, position, standins.page(answer.body))
+            self._ledger.record_page(
+                batch_id, position, standins.read_page(answer.body)
+            )
         elif answer.status == 404:
             self._ledger.record_not_found(batch_id, requested_at)
         return answer.status == 200
--- a/misc/soaks/soak_ledger.py
+++ b/misc/soaks/soak_ledger.py
@@ -189,7 +189,7 @@
             version, self.announced_by_model.get(model, 0)
         )
 
-    def record_order(self, upstream_id: str, order: standins.OrderGiven) -> None:
+    def record_order(self, upstream_id: str, order: standins.ReceivedOrder) -> None:
         """Record an order that an engine has received."""
         self.counts["orders"] += 1
         self.leader = order.holder
@@ -374,7 +374,9 @@
             for error in self._text_errors(listed, batch):
                 self._add_finding(f"{item_id} of {batch_id}: {error}")
 
-    def _text_errors(self, listed: standins.Listed, batch: _Batch) -> Iterator[str]:
+    def _text_errors(
+        self, listed: standins.BatchResult, batch: _Batch
+    ) -> Iterator[str]:
         n_expected = batch.n_events_by_item_id[listed.item_id]
         yield from self.runs.text_errors(listed.item_id, n_expected, listed.text)
         versions = self.runs.versions_in(listed.text)
--- a/misc/soaks/soak_upstreams.py
+++ b/misc/soaks/soak_upstreams.py
@@ -149,7 +149,7 @@
             eventlet.sleep(ANNOUNCE_SECONDS)
 
     def _announce_invalidly(self, announcement: standins.Announcement) -> None:
-        call = standins.announce_wrongly(announcement, random.Random())
+        call = standins.announce_corrupted(announcement, random.Random())
         self._ledger.record_invalid_announcement(call.body, self._announce(call))
 
     @property
@@ -177,7 +177,7 @@
         self._ledger.record_request(
             self.upstream_id, work.request_id, clock.now(), batch_id
         )
-        claim = standin_accounts.claim(received.headers)
+        claim = standin_accounts.read_identity(received.headers)
         self._ledger.accounts.record_run(work.request_id, claim)
         if self._n_running >= CAPACITY:
             headers = standins.answer_headers(work.request_id)
@@ -251,7 +251,7 @@
     # Orders
 
     def _handle_order(self, connection: Any, received: scripted.Received) -> None:
-        order = standins.order_given(received.body)
+        order = standins.read_order(received.body)
         self._ledger.record_order(self.upstream_id, order)
         status = self._order_status(order)
         self._send(connection, status, b"", {})
--- a/tests/test_soak_accounts.py
+++ b/tests/test_soak_accounts.py
@@ -24,7 +24,7 @@
         self.accounts.record_accounts(soak_accounts.accounts_of(9), 100.0)
 
     def record_run(self, account="desk", has_key=False):
-        claim = standin_accounts.Claim(account, has_key)
+        claim = standin_accounts.CallerIdentity(account, has_key)
         self.accounts.record_run("r", claim)
 
     @tools.params(
--- a/tests/test_soak_ledger.py
+++ b/tests/test_soak_ledger.py
@@ -214,8 +214,8 @@
         self.assertFalse(self.ledger.must_finish("b"))
 
     def test_two_holders_of_one_number(self):
-        order = standins.OrderGiven("m", 2, "s0", 7, 0)
-        other = standins.OrderGiven("m", 3, "s1", 7, 1)
+        order = standins.ReceivedOrder("m", 2, "s0", 7, 0)
+        other = standins.ReceivedOrder("m", 3, "s1", 7, 1)
         self.ledger.record_order("e", order)
         self.assertEqual(self.n_findings(), 0)
         self.ledger.record_order("e", other)
--- a/tests/test_soak_site.py
+++ b/tests/test_soak_site.py
@@ -74,7 +74,7 @@
             path = pathlib.Path(folder)
             site = soak_site.Site(path, 19, soak_site.Sizes(), ledger, lambda _: True)
             self.addCleanup(site.stop)
-            order = standins.OrderGiven("m", 2, holder, 7, 0)
+            order = standins.ReceivedOrder("m", 2, holder, 7, 0)
             ledger.record_order("e", order)
             self.assertEqual(site.leader(), expected)
 
