--- a/bilberrydrum/fleet/incarnations.py
+++ b/bilberrydrum/fleet/incarnations.py
@@ -87,7 +87,7 @@
 
     Parameters
     ----------
-    former : Former or None
+    former : FormerIncarnation or None
         The last removed incarnation with the same id.
     """
     known, holders = None, []
