--- a/bilberrydrum/batches/demand.py
+++ b/bilberrydrum/batches/demand.py
@@ -3,8 +3,8 @@
 from collections.abc import Mapping, Sequence
 from typing import Final
 
-# A trainer announces a version and submits a step at the same time. This many seconds
-# after the step the announcement is known too.
+# A trainer announces a version and submits a step at the same time. The announcement
+# arrives by another path and is assumed to be known this many seconds after the step.
 VERSION_DELAY_SECONDS: Final = 0.3
 
 
--- a/bilberrydrum/batches/engine_heap.py
+++ b/bilberrydrum/batches/engine_heap.py
@@ -57,7 +57,7 @@
     def best(self, item: "scheduling.WaitingItem") -> _Entry | None:
         """Return the entry of the best engine for `item`; None if there is none."""
         self._restore(item.n_tokens)
-        passed_over = []
+        excluded = []
         found = None
         while self._entries and found is None:
             entry = self._entries[0]
@@ -68,14 +68,14 @@
             elif corrected != entry:
                 heapq.heapreplace(self._entries, corrected)
             elif engine.engine_id in item.excluded_ids:
-                passed_over.append(heapq.heappop(self._entries))
+                excluded.append(heapq.heappop(self._entries))
             elif not engine.has_memory(item):
                 heapq.heappop(self._entries)
                 left = engine.n_cache_tokens - engine.n_tokens
                 heapq.heappush(self._low_memory, (-left, entry))
             else:
                 found = entry
-        for each in passed_over:
+        for each in excluded:
             heapq.heappush(self._entries, each)
         return found
 
--- a/bilberrydrum/batches/item_run.py
+++ b/bilberrydrum/batches/item_run.py
@@ -126,19 +126,19 @@
 
 
 def carry_out(
-    means: attempts.Means,
+    resources: attempts.Resources,
     protocol: upstream_protocol.UpstreamProtocol,
     engine: fleet_model.FleetUpstream,
     run: Run,
     remaining_seconds: float,
 ) -> AttemptResult:
     """Send the item to `engine` and append the events of the answer to the text."""
-    result = _send(means, protocol, engine, run, remaining_seconds, run.reading)
+    result = _send(resources, protocol, engine, run, remaining_seconds, run.reading)
     return attrs.evolve(result, reading=run.reading)
 
 
 def _send(
-    means: attempts.Means,
+    resources: attempts.Resources,
     protocol: upstream_protocol.UpstreamProtocol,
     engine: fleet_model.FleetUpstream,
     run: Run,
@@ -168,14 +168,16 @@
     )
     try:
         first = max(HEAD_TIMEOUT_SECONDS, run.stall_seconds())
-        with attempts.bounded_wait(means, outgoing, first):
+        with attempts.bounded_wait(resources, outgoing, first):
             connection, answer = attempts.open_answer(
-                means.pool, engine.address, outgoing
+                resources.pool, engine.address, outgoing
             )
     except attempts.AttemptError as error:
         return _without_answer(error)
     reading.framing = _framing_of(answer)
-    return _read(means, protocol, engine, run, outgoing, connection, answer, reading)
+    return _read(
+        resources, protocol, engine, run, outgoing, connection, answer, reading
+    )
 
 
 def _framing_of(answer: Any) -> Framing:
@@ -202,7 +204,7 @@
 
 
 def _read(
-    means: attempts.Means,
+    resources: attempts.Resources,
     protocol: upstream_protocol.UpstreamProtocol,
     engine: fleet_model.FleetUpstream,
     run: Run,
@@ -213,7 +215,7 @@
 ) -> AttemptResult:
     is_complete = False
     try:
-        result = _consume(means, protocol, run, outgoing, answer, reading)
+        result = _consume(resources, protocol, run, outgoing, answer, reading)
         is_complete = result.outcome not in (Outcome.BROKEN, Outcome.WRONG_VERSION)
         return result
     except attempts.AttemptError as error:
@@ -227,14 +229,14 @@
         if is_complete:
             is_named = protocol.request_id_header in answer.headers
             attempts.keep_or_close(
-                means.pool, engine.address, connection, answer, is_named
+                resources.pool, engine.address, connection, answer, is_named
             )
         else:
             connection.close()
 
 
 def _consume(
-    means: attempts.Means,
+    resources: attempts.Resources,
     protocol: upstream_protocol.UpstreamProtocol,
     run: Run,
     outgoing: outgoing_requests.Outgoing,
@@ -243,7 +245,7 @@
 ) -> AttemptResult:
     head = protocol.read_head(answer.headers)
     if answer.status != _OK:
-        return _result_of_error(means, outgoing, answer, head)
+        return _result_of_error(resources, outgoing, answer, head)
     if not head.is_genuine:
         # A damaged head with nothing after it looks like the answer of an engine that
         # has nothing left to generate, so an incomplete text would be listed as
@@ -256,7 +258,7 @@
     reader = event_stream.EventReader(protocol.version_field, reading.asked_after or 0)
     last_at = None
     last_version = None
-    for part in _parts(means, outgoing, answer, run.stall_seconds):
+    for part in _parts(resources, outgoing, answer, run.stall_seconds):
         for event in reader.feed(part):
             reading.record(event)
             now = clock.now()
@@ -315,13 +317,13 @@
 
 
 def _result_of_error(
-    means: attempts.Means,
+    resources: attempts.Resources,
     outgoing: outgoing_requests.Outgoing,
     answer: Any,
     head: upstream_protocol.AnswerHead,
 ) -> AttemptResult:
     # Read the body to its end, so that the connection can be reused.
-    for _ in _parts(means, outgoing, answer, lambda: STALL_SECONDS):
+    for _ in _parts(resources, outgoing, answer, lambda: STALL_SECONDS):
         pass
     detail = f"status {answer.status}"
     is_named = outgoing.id_header in answer.headers
@@ -337,14 +339,14 @@
 
 
 def _parts(
-    means: attempts.Means,
+    resources: attempts.Resources,
     outgoing: outgoing_requests.Outgoing,
     answer: Any,
     stall_seconds: Callable[[], float],
 ) -> Iterator[bytes]:
     parts = attempts.read_parts(answer)
     while True:
-        with attempts.bounded_wait(means, outgoing, stall_seconds()):
+        with attempts.bounded_wait(resources, outgoing, stall_seconds()):
             part = next(parts, None)
         if part is None:
             return
--- a/bilberrydrum/batches/item_sender.py
+++ b/bilberrydrum/batches/item_sender.py
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        means: attempts.Means,
+        resources: attempts.Resources,
         protocol: upstream_protocol.UpstreamProtocol,
         view: subscriber.Subscriber,
         given_hooks: hooks.Hooks,
@@ -39,7 +39,7 @@
         crashes: crash_watch.CrashWatch,
         wake: Callable[[], None],
     ) -> None:
-        self._means = means
+        self._resources = resources
         self._protocol = protocol
         self._view = view
         self._hooks = given_hooks
@@ -107,9 +107,9 @@
             n_expected = run.n_expected_output_tokens()
             self._pace.record(n_expected, len(run.text.parts), seconds)
         self._apply_result(opened, run, engine, attempt_result)
-        self._report_crash(opened, run, engine, attempt_result, seconds)
+        self._update_crash_history(opened, run, engine, attempt_result, seconds)
 
-    def _report_crash(
+    def _update_crash_history(
         self,
         opened: work.OpenBatch,
         run: lifecycle.ItemRun,
@@ -117,9 +117,9 @@
         attempt_result: item_run.AttemptResult,
         seconds: float,
     ) -> None:
-        """Report a crash during the attempt, or clear the item of earlier ones."""
+        """Report a crash during the attempt, and clear the item after a healthy run."""
         is_complete = attempt_result.outcome is item_run.Outcome.COMPLETED
-        if is_complete or run.has_survived():
+        if is_complete or run.was_healthy():
             self._crashes.record_answer(lambda: self._fingerprint(opened, run))
         if attempt_result.is_cut_off:
             broken = crash_watch.BrokenRun(
@@ -128,7 +128,7 @@
                 crash_watch.subject_of("POST", opened.batch.host, run.item.target),
                 engine.upstream,
                 seconds,
-                was_healthy=run.has_survived(),
+                was_healthy=run.was_healthy(),
             )
             self._crashes.record_broken_run(broken)
 
@@ -191,7 +191,11 @@
         began = clock.now()
         try:
             return item_run.carry_out(
-                self._means, self._protocol, engine.upstream, prepared, deadline - began
+                self._resources,
+                self._protocol,
+                engine.upstream,
+                prepared,
+                deadline - began,
             )
         except item_tasks.Cancelled as cancelled:
             why = cancelled.why.value
--- a/bilberrydrum/batches/lifecycle.py
+++ b/bilberrydrum/batches/lifecycle.py
@@ -18,8 +18,8 @@
 from bilberrydrum import quarantine
 from bilberrydrum.batches import model, texts
 
-# An item is not sent again to an engine at which it failed for this long, in seconds.
-# Other engines may run it at once, so the item waits only if there is no other.
+# After a failure at an engine, an item is not sent to that engine for this long, in
+# seconds. Other engines may run it at once, so it waits only if there is no other.
 EXCLUDED_SECONDS: Final = 1.0
 
 
@@ -83,7 +83,7 @@
         """Record the pause, in seconds, before an event after an attempt's first."""
         self.generating_seconds += seconds
 
-    def has_survived(self) -> bool:
+    def was_healthy(self) -> bool:
         """Return whether the attempt ran long enough to clear the item of suspicion."""
         return self.generating_seconds >= quarantine.HEALTHY_RUN_SECONDS
 
--- a/bilberrydrum/batches/load_limit.py
+++ b/bilberrydrum/batches/load_limit.py
@@ -59,7 +59,7 @@
         ----------
         seconds : float
             Time from the order until the engine served the version.
-        n_beside : int
+        n_concurrent : int
             Number of engines that loaded at the same time, this one included.
         n_engines : int
             Number of all engines.
--- a/bilberrydrum/batches/loader.py
+++ b/bilberrydrum/batches/loader.py
@@ -42,16 +42,18 @@
 
     def __init__(
         self,
-        means: attempts.Means,
+        resources: attempts.Resources,
         protocol: upstream_protocol.UpstreamProtocol,
         known: engines.Engines,
-        duties: LoaderHooks,
+        loader_hooks: LoaderHooks,
     ) -> None:
-        self._sender = orders.OrderSender(means, protocol, duties.fencing_number)
+        self._sender = orders.OrderSender(
+            resources, protocol, loader_hooks.fencing_number
+        )
         self._engines = known
-        self._duties = duties
+        self._hooks = loader_hooks
         self._limit = load_limit.LoadLimit()
-        self._named = demand.AnnouncedVersions()
+        self._announced = demand.AnnouncedVersions()
         self._tasks: list[Any] = []
 
     def stop(self) -> None:
@@ -62,7 +64,7 @@
 
     def record_step(self, model_name: str, min_version: int) -> None:
         """Record the oldest version that a new step allows."""
-        self._named.record_step(model_name, min_version, clock.now())
+        self._announced.record_step(model_name, min_version, clock.now())
 
     def step(
         self,
@@ -87,12 +89,12 @@
         shares : engine_shares.Shares
             The engines assigned to each model.
         """
-        self._named.record(versions_by_model, now)
+        self._announced.record(versions_by_model, now)
         wanted_by_model = {
             name: weight_plan.Wanted(
                 version,
-                self._named.lag(name),
-                now - self._named.announced_at(name),
+                self._announced.lag(name),
+                now - self._announced.announced_at(name),
                 name in waiting_models,
             )
             for name, version in versions_by_model.items()
@@ -116,11 +118,11 @@
             # Running items continue under the new version where the step allows both
             # versions. The engine then serves without interruption, and only its
             # cached prompts are read again.
-            keeps_running = not self._duties.needs_single_version(load.model)
+            keeps_running = not self._hooks.needs_single_version(load.model)
             order = orders.Order(
                 load,
                 keeps_running,
-                self._duties.holder,
+                self._hooks.holder,
                 lambda: self._engines.by_id.get(engine.upstream_id) is engine,
             )
             report = self._sender.carry_out(engine.upstream, order)
@@ -133,4 +135,4 @@
             self._limit.record_load(seconds, n_concurrent, len(self._engines.by_id))
         finally:
             engine.loading = None
-            self._duties.wake()
+            self._hooks.wake()
--- a/bilberrydrum/batches/orders.py
+++ b/bilberrydrum/batches/orders.py
@@ -54,11 +54,11 @@
 
     def __init__(
         self,
-        means: attempts.Means,
+        resources: attempts.Resources,
         protocol: upstream_protocol.UpstreamProtocol,
         fencing_number: Callable[[], int | None],
     ) -> None:
-        self._means = means
+        self._resources = resources
         self._protocol = protocol
         self._fencing_number = fencing_number
 
@@ -110,8 +110,8 @@
         )
         if reply.is_withheld or reply.status in (_FENCED, _MISDIRECTED):
             return False
-        is_taken = reply.status in (200, 202)
-        clock.sleep(_FIRST_POLL_SECONDS if is_taken else _REPORT_LAG_SECONDS)
+        is_accepted = reply.status in (200, 202)
+        clock.sleep(_FIRST_POLL_SECONDS if is_accepted else _REPORT_LAG_SECONDS)
         return True
 
     def _message(
@@ -145,7 +145,7 @@
         purpose: str,
     ) -> single_calls.Reply:
         return single_calls.call(
-            self._means.pool, engine.address, prepare, _ANSWER_SECONDS, purpose
+            self._resources.pool, engine.address, prepare, _ANSWER_SECONDS, purpose
         )
 
 
--- a/bilberrydrum/batches/runner.py
+++ b/bilberrydrum/batches/runner.py
@@ -38,7 +38,7 @@
 
 # Maximum time between two scheduling passes, in seconds. A pass without any other cause
 # finds items whose time is up and engines whose backoff has ended.
-_TICK_SECONDS: Final = 0.25
+_PASS_INTERVAL_SECONDS: Final = 0.25
 # Delay before a pass, in seconds, so that changes that arrive together share one pass.
 _COALESCE_SECONDS: Final = 0.01
 # Pause before a pass, as a multiple of the duration of the last one. With many items, a
@@ -71,7 +71,7 @@
         self,
         protocol: upstream_protocol.UpstreamProtocol,
         view: subscriber.Subscriber,
-        means: attempts.Means,
+        resources: attempts.Resources,
         given_hooks: hooks.Hooks,
         relay_: relay.Relay,
         crashes: crash_watch.CrashWatch,
@@ -85,18 +85,18 @@
         self._wake = eventlet.event.Event()
         self._pace = urgency.Pace()
         self._items = item_sender.ItemSender(
-            means, protocol, view, given_hooks, self._pace, crashes, self.wake
+            resources, protocol, view, given_hooks, self._pace, crashes, self.wake
         )
         self._scores = score_sender.ScoreSender(
             relay_, view, given_hooks, self._pace, self.wake
         )
-        duties = loader.LoaderHooks(
+        loader_hooks = loader.LoaderHooks(
             given_hooks.holder,
             given_hooks.fencing_number,
             self._needs_single_version,
             self.wake,
         )
-        self._loader = loader.Loader(means, protocol, self._engines, duties)
+        self._loader = loader.Loader(resources, protocol, self._engines, loader_hooks)
         self._task: Any = None
         self._is_watching = False
         self._progress_at = float("-inf")
@@ -129,7 +129,7 @@
         self._scores.stop()
 
     def wake(self) -> None:
-        """Make a scheduling pass due without waiting for the next tick."""
+        """Make a scheduling pass due without waiting for the maximum interval."""
         if not self._wake.ready():
             self._wake.send(None)
 
@@ -187,7 +187,7 @@
 
     def _run(self) -> None:
         while True:
-            with eventlet.Timeout(_TICK_SECONDS, False):
+            with eventlet.Timeout(_PASS_INTERVAL_SECONDS, False):
                 self._wake.wait()
             clock.sleep(_pause_seconds(self._pass_seconds))
             self._wake = eventlet.event.Event()
@@ -298,7 +298,7 @@
         standing = self._items.standing(opened, run)
         if route is None or standing is quarantine.Standing.QUARANTINED:
             # The item waits until it is given up, because no result could be reported
-            # to its caller that would be true now.
+            # to its caller that is known to be true.
             return None
         served: set[int] = set()
         if route.is_single_version:
@@ -359,4 +359,6 @@
 
     `pass_seconds` is the duration of the last pass.
     """
-    return min(max(_COALESCE_SECONDS, _PAUSE_FACTOR * pass_seconds), _TICK_SECONDS)
+    return min(
+        max(_COALESCE_SECONDS, _PAUSE_FACTOR * pass_seconds), _PASS_INTERVAL_SECONDS
+    )
--- a/bilberrydrum/batches/scheduling.py
+++ b/bilberrydrum/batches/scheduling.py
@@ -210,7 +210,7 @@
 ) -> set[tuple[str, str]]:
     """Return the items that go after those of other accounts.
 
-    Answers the load in which one account submits many times what can be served. Its
+    This handles a load in which one account submits many times what can be served. Its
     oldest items are always the most urgent, and the items of all other accounts would
     wait for them until they are late as well. So an account that has items which can no
     longer be on time keeps its normal order for an equal share of the run slots only,
--- a/bilberrydrum/batches/scoring.py
+++ b/bilberrydrum/batches/scoring.py
@@ -22,11 +22,11 @@
 from bilberrydrum.relay import model as relay_model
 
 # Slots of each upstream that scoring requests leave free for other requests. One
-# protects services with much other traffic; three look-ups a second took under 0.17 s
-# with any number of free slots. Further ones delay scores: in simulations of one
-# upstream with six slots, 99 of 100 texts had their score within 1.4 s of their last
-# event with one reserved slot and within 1.9 s with two, and with four scoring could
-# not keep up.
+# reserved slot protects services with much other traffic. With three look-ups a second,
+# look-ups took under 0.17 s whatever the number of reserved slots. More than one delays
+# scores: in simulations of one upstream with six slots, 99 of 100 texts had their score
+# within 1.4 s of their last event with one reserved slot and within 1.9 s with two, and
+# with four scoring could not keep up.
 RESERVED_SLOTS: Final = 1
 # Pause before a scoring request is retried after an attempt without a score, in
 # seconds: about one service time.
@@ -97,7 +97,7 @@
     ----------
     answer : relay_model.Answered or relay_model.Refused
         The answer.
-    is_own_answer : bool
+    is_signed : bool
         Whether an upstream has signed it as the answer to this request.
     n_failures : int
         Number of error answers from upstreams to this request so far, this one
--- a/bilberrydrum/batches/service.py
+++ b/bilberrydrum/batches/service.py
@@ -61,7 +61,7 @@
         carrier: transport.Transport,
         view: subscriber.Subscriber,
         protocol: upstream_protocol.UpstreamProtocol,
-        means: attempts.Means,
+        resources: attempts.Resources,
         relay_: relay.Relay,
         crashes: crash_watch.CrashWatch,
         retention_seconds: float,
@@ -85,7 +85,7 @@
         self._carrier = carrier
         self._view = view
         self._protocol = protocol
-        self._means = means
+        self._resources = resources
         self._relay = relay_
         self._crashes = crashes
         self._retention_seconds = retention_seconds
@@ -182,7 +182,7 @@
         started = runner.BatchRunner(
             self._protocol,
             self._view,
-            self._means,
+            self._resources,
             given,
             self._relay,
             self._crashes,
--- a/bilberrydrum/batches/texts.py
+++ b/bilberrydrum/batches/texts.py
@@ -1,4 +1,4 @@
-"""An item's text while it is generated, by one attempt or by several in turn.
+"""An item's text while it is generated, by one attempt or by several in succession.
 
 Each attempt resumes the text where the last one ended. A text belongs to one item of
 one open batch, and only that item's current attempt appends to it. The stores' group
--- a/bilberrydrum/counters.py
+++ b/bilberrydrum/counters.py
@@ -38,7 +38,7 @@
 
 BROKEN_RUNS: Final = prometheus_client.Counter(
     "bilberrydrum_broken_runs_total",
-    "Runs cut off at an upstream, by whether the upstream had crashed.",
+    "Runs cut off at an upstream that had crashed (ended) or still runs (stands).",
     ["upstream"],
 )
 USAGE_LOST: Final = prometheus_client.Counter(
--- a/bilberrydrum/http/callers.py
+++ b/bilberrydrum/http/callers.py
@@ -367,7 +367,7 @@
 
     A gateway may be suspended between admission and sending. When it resumes, it must
     not send under a bundle that is no longer in force. Nor may it send a request that
-    its caller has given up: another gateway may have answered the retry that the
+    its caller has abandoned: another gateway may have answered the retry that the
     request did not run.
     """
 
--- a/bilberrydrum/http/upstreams.py
+++ b/bilberrydrum/http/upstreams.py
@@ -104,7 +104,7 @@
 
 def _refuse_if_gone(request: edge.Request) -> None:
     # After this process was suspended for a while, its sockets contain requests that
-    # upstreams gave up long ago. If such a request were handled as a current one, an
+    # upstreams abandoned long ago. If such a request were handled as a current one, an
     # upstream that is gone would be listed.
     if request.is_client_gone():
         raise edge.refuse(400, reasons.Reason.CALLER_GONE)
--- a/bilberrydrum/nodes/gateway.py
+++ b/bilberrydrum/nodes/gateway.py
@@ -50,7 +50,7 @@
         self.store_calls = self._stores.calls
         self._clients = watch.ClientWatch()
         self._pool = connections.ConnectionPool()
-        means = attempts.Means(self._pool, self._clients)
+        resources = attempts.Resources(self._pool, self._clients)
         rng = random.Random()
         self.callers = callers.Callers(self.view, rng)
         balancer = balancing.Balancer(node.availability_zone, rng)
@@ -58,7 +58,7 @@
         parts = (
             protocol,
             self.view,
-            means,
+            resources,
             balancer,
             rng,
             self._crashes,
--- a/bilberrydrum/nodes/store.py
+++ b/bilberrydrum/nodes/store.py
@@ -76,14 +76,14 @@
         groups.start_replica(self.replica)
         if self.replica.failure:
             return
-        means = attempts.Means(self._pool, self._clients)
+        resources = attempts.Resources(self._pool, self._clients)
         self.service = service.BatchService(
             self.replica,
             self._stores.carrier,
             self.view,
             self._protocol,
-            means,
-            self._make_relay(means),
+            resources,
+            self._make_relay(resources),
             self._item_crashes,
             self._node.retention_seconds,
             fencing.FencingGuard(
@@ -95,11 +95,11 @@
         self.service.start()
         self._on_registry_change()
 
-    def _make_relay(self, means: attempts.Means) -> relay.Relay:
+    def _make_relay(self, resources: attempts.Resources) -> relay.Relay:
         rng = random.Random()
         balancer = balancing.Balancer(self._node.availability_zone, rng)
         return relay.Relay(
-            self._protocol, self.view, means, balancer, rng, self._crashes
+            self._protocol, self.view, resources, balancer, rng, self._crashes
         )
 
     def _holds_data(self) -> bool:
--- a/bilberrydrum/relay/balancing.py
+++ b/bilberrydrum/relay/balancing.py
@@ -30,7 +30,7 @@
     """What this process has observed of one upstream."""
 
     n_in_flight: int = 0
-    pause: backoff.Backoff = attrs.field(
+    backoff_state: backoff.Backoff = attrs.field(
         factory=lambda: backoff.Backoff(FIRST_BACKOFF_SECONDS, MAX_BACKOFF_SECONDS)
     )
     # Requests at the upstream as last reported, and the time of that report.
@@ -72,7 +72,7 @@
         self, upstream: model.FleetUpstream, now: float
     ) -> tuple[float, bool, float, bool, float]:
         state = self._states_by_id.get(upstream.upstream_id, _UpstreamState())
-        wait = state.pause.remaining(now)
+        wait = state.backoff_state.remaining(now)
         load = state.load(now) / max(upstream.n_slots, 1)
         # While less than half of an upstream's slots are in use the zone decides: an
         # answer from another zone takes longer and its traffic costs money, whereas one
@@ -104,35 +104,35 @@
             for each in present
             if not each.is_silent
             and each.upstream_id not in crashed_ids
-            and not self._pause_of(each.upstream_id, now)
+            and not self._backoff_of(each.upstream_id, now)
         ]
         return len(healthy) > 1 or (bool(healthy) and len(healthy) == len(present))
 
-    def _pause_of(self, upstream_id: str, now: float) -> float:
+    def _backoff_of(self, upstream_id: str, now: float) -> float:
         state = self._states_by_id.get(upstream_id)
-        return state.pause.remaining(now) if state is not None else 0.0
+        return state.backoff_state.remaining(now) if state is not None else 0.0
 
-    def begin(self, upstream_id: str) -> None:
+    def record_start(self, upstream_id: str) -> None:
         """Count a request that is sent to the upstream."""
         self._state_of(upstream_id).n_in_flight += 1
 
-    def end(self, upstream_id: str) -> None:
+    def record_end(self, upstream_id: str) -> None:
         """Count a request as no longer in flight, whatever its outcome."""
         self._state_of(upstream_id).n_in_flight -= 1
 
-    def succeeded(
+    def record_success(
         self, upstream_id: str, head: upstream_protocol.AnswerHead, now: float
     ) -> None:
         """Record an answer: end the backoff, and store the load that it reports."""
         state = self._state_of(upstream_id)
-        state.pause.record_success()
+        state.backoff_state.record_success()
         if head.n_running is not None:
             state.n_reported = head.n_running + (head.n_waiting or 0)
             state.reported_at = now
 
-    def failed(self, upstream_id: str, now: float) -> None:
+    def record_failure(self, upstream_id: str, now: float) -> None:
         """Record that an upstream gave no valid answer, and start its backoff."""
-        self._state_of(upstream_id).pause.record_failure(now)
+        self._state_of(upstream_id).backoff_state.record_failure(now)
 
     def keep_only(self, upstream_ids: Collection[str]) -> None:
         """Remove upstreams that have left, unless a request is in flight there."""
--- a/bilberrydrum/relay/hedging.py
+++ b/bilberrydrum/relay/hedging.py
@@ -3,8 +3,8 @@
 This guards against an upstream that hangs, or is many times slower than its peers, but
 still accepts connections. Gateways that see a request every few seconds notice it one
 by one, and at each of them a caller waits until the first attempt times out, after
-three and a half times the target latency. If a second upstream is asked after half of
-the target, its answer still arrives within the target.
+three and a half times the target latency. If the request is sent to a second
+upstream after half of the target, its answer still arrives within the target.
 
 The first attempt continues meanwhile, because its work would be lost if the second one
 failed. Only requests that may run more than once and whose route allows one more
--- a/bilberrydrum/relay/relay.py
+++ b/bilberrydrum/relay/relay.py
@@ -49,7 +49,7 @@
 
 @attrs.define
 class _PlainRequest(relayed_requests.RelayedRequest):
-    """The state of one request that is answered as a whole, not as a stream."""
+    """The state of one request that is answered completely, not as a stream."""
 
     # Chosen once per request: the route's shares are shares of requests, not of
     # attempts.
@@ -57,7 +57,7 @@
     # Latest answer with a status of 500 or more; forwarded if no attempt succeeds.
     last_failure: request_model.ApplicationAnswer | None = None
     # Attempts that have not ended.
-    n_under_way: int = 0
+    n_in_flight: int = 0
     # An answer was forwarded; any further answer is late.
     is_answered: bool = False
 
@@ -89,7 +89,7 @@
         self,
         protocol: upstream_protocol.UpstreamProtocol,
         view: subscriber.Subscriber,
-        means: attempts.Means,
+        resources: attempts.Resources,
         balancer: balancing.Balancer,
         rng: random.Random,
         crashes: crash_watch.CrashWatch,
@@ -110,7 +110,7 @@
         self._meter = meter
         self._protocol = protocol
         self._view = view
-        self._means = means
+        self._resources = resources
         self._rng = rng
         self._crashes = crashes
         self._balancer = balancer
@@ -170,7 +170,7 @@
     def _try_hedged(
         self, upstream: fleet_model.FleetUpstream, request: _PlainRequest
     ) -> model.Answered | None:
-        """Ask `upstream`, and a second upstream if the answer is late (see `hedging`).
+        """Send to `upstream`, and to a second one if it is late (see `hedging`).
 
         Returns None if no attempt had an answer to forward.
         """
@@ -184,14 +184,14 @@
             answer = answers.get(timeout=delay)
             return answer
         except eventlet.queue.Empty:
-            n_under_way = 1
+            n_in_flight = 1
         second = self._choose_second(upstream, request)
         if second is not None:
             eventlet.spawn_n(self._try_in_task, second, request, answers)
-            n_under_way += 1
-        while answer is None and n_under_way:
+            n_in_flight += 1
+        while answer is None and n_in_flight:
             answer = answers.get()
-            n_under_way -= 1
+            n_in_flight -= 1
         return answer
 
     def _hedge_delay(self, request: _PlainRequest) -> float | None:
@@ -256,15 +256,15 @@
         self, attempt: _Attempt, request: _PlainRequest
     ) -> model.Answered | None:
         request.excluded_ids.add(attempt.upstream_id)
-        request.n_under_way += 1
-        self._balancer.begin(attempt.upstream_id)
+        request.n_in_flight += 1
+        self._balancer.record_start(attempt.upstream_id)
         try:
-            answer = attempts.call(self._means, attempt.upstream, attempt.outgoing)
+            answer = attempts.call(self._resources, attempt.upstream, attempt.outgoing)
         except attempts.AttemptError as error:
             return self._handle_failure(attempt, request, error)
         finally:
-            self._balancer.end(attempt.upstream_id)
-            request.n_under_way -= 1
+            self._balancer.record_end(attempt.upstream_id)
+            request.n_in_flight -= 1
         return self._handle_answer(attempt, request, answer)
 
     def _outgoing(
@@ -274,8 +274,8 @@
         now = clock.now()
         remaining = request.deadline - now
         seconds = remaining
-        n_asked = request.n_run + request.n_under_way
-        is_last = n_asked + 1 >= request.route.max_attempts
+        n_started = request.n_run + request.n_in_flight
+        is_last = n_started + 1 >= request.route.max_attempts
         if request.may_run_again and not is_last:
             floor = _MIN_ATTEMPT_TARGETS * request.route.target_latency_seconds
             seconds = min(remaining, max(floor, remaining * _ATTEMPT_TIME_SHARE))
@@ -318,11 +318,11 @@
         if answer.status < 300 and not head.is_genuine:
             # Not the upstream's own answer, so it must not be forwarded: the caller
             # would take it for the result.
-            self._balancer.failed(attempt.upstream_id, clock.now())
+            self._balancer.record_failure(attempt.upstream_id, clock.now())
             reason = reasons.Reason.ANSWER_MISMATCHED
             request.record_failure(attempt.upstream_id, reason, self._view)
             return None
-        self._balancer.succeeded(attempt.upstream_id, head, clock.now())
+        self._balancer.record_success(attempt.upstream_id, head, clock.now())
         if self._hedging is not None:
             self._hedging.record_latency(request.service, attempt.seconds())
         self._crashes.record_answer(request.fingerprint)
@@ -346,7 +346,7 @@
         if answer.status != 503:
             # The upstream is not merely busy, as with 503: its address belongs to
             # another incarnation now, or it accepts no requests at all.
-            self._balancer.failed(attempt.upstream_id, clock.now())
+            self._balancer.record_failure(attempt.upstream_id, clock.now())
         reason = reasons.Reason.UPSTREAM_BUSY
         request.record_failure(attempt.upstream_id, reason, self._view)
 
@@ -363,7 +363,7 @@
         if not error.is_refusal and not self._was_cut_short_by_caller(
             attempt, request, error
         ):
-            self._balancer.failed(attempt.upstream_id, clock.now())
+            self._balancer.record_failure(attempt.upstream_id, clock.now())
         if error.reason in relayed_requests.FINAL_REASONS:
             request.stop()
         if error.may_have_run and error.reason in crash_probe.BROKEN_REASONS:
--- a/bilberrydrum/relay/streams.py
+++ b/bilberrydrum/relay/streams.py
@@ -68,7 +68,7 @@
     attempt_began_at: float = 0.0
     first_event_at: float | None = None
 
-    def has_survived(self) -> bool:
+    def was_healthy(self) -> bool:
         """Return whether the last attempt streamed events for long enough.
 
         A crash that comes later than that is not attributed to the request.
@@ -85,7 +85,7 @@
         self,
         protocol: upstream_protocol.UpstreamProtocol,
         view: subscriber.Subscriber,
-        means: attempts.Means,
+        resources: attempts.Resources,
         balancer: balancing.Balancer,
         rng: random.Random,
         crashes: crash_watch.CrashWatch,
@@ -95,7 +95,7 @@
         self._meter = meter
         self._protocol = protocol
         self._view = view
-        self._means = means
+        self._resources = resources
         self._balancer = balancer
         self._rng = rng
         self._crashes = crashes
@@ -156,20 +156,20 @@
         upstream: fleet_model.FleetUpstream,
         outgoing: outgoing_requests.Outgoing,
     ) -> _Source | None:
-        self._balancer.begin(upstream.upstream_id)
+        self._balancer.record_start(upstream.upstream_id)
         try:
-            with attempts.bounded_wait(self._means, outgoing):
+            with attempts.bounded_wait(self._resources, outgoing):
                 connection, answer = attempts.open_answer(
-                    self._means.pool, upstream.address, outgoing
+                    self._resources.pool, upstream.address, outgoing
                 )
         except attempts.AttemptError as error:
-            self._balancer.end(upstream.upstream_id)
+            self._balancer.record_end(upstream.upstream_id)
             self._handle_failure(request, upstream, error.reason, error.may_have_run)
             if error.may_have_run:
                 self._record_broken_run(request, upstream, error.reason)
             return None
         except BaseException:
-            self._balancer.end(upstream.upstream_id)
+            self._balancer.record_end(upstream.upstream_id)
             raise
         return self._accept_answer(
             request, _Source(upstream, outgoing, connection, answer)
@@ -260,7 +260,7 @@
         parts = attempts.read_parts(source.answer)
         max_wait = max(STALL_SECONDS, request.route.target_latency_seconds * 4)
         while True:
-            with attempts.bounded_wait(self._means, source.outgoing, max_wait):
+            with attempts.bounded_wait(self._resources, source.outgoing, max_wait):
                 part = next(parts, None)
             if part is None:
                 break
@@ -277,7 +277,7 @@
             # a partial or empty stream as complete; so it is handled as a break.
             raise event_stream.EventError("stream ended without an event")
         head = self._protocol.read_head(source.answer.headers)
-        self._balancer.succeeded(source.upstream.upstream_id, head, clock.now())
+        self._balancer.record_success(source.upstream.upstream_id, head, clock.now())
         self._crashes.record_answer(request.fingerprint)
 
     def _release(self, source: _Source) -> None:
@@ -285,12 +285,12 @@
         if source.connection is not None:
             source.connection.close()
             source.connection = None
-            self._balancer.end(source.upstream.upstream_id)
+            self._balancer.record_end(source.upstream.upstream_id)
 
     def _read_error_answer(self, source: _Source) -> model.Answered | model.Refused:
         """Read an upstream's error answer, to be forwarded unchanged."""
         try:
-            with attempts.bounded_wait(self._means, source.outgoing):
+            with attempts.bounded_wait(self._resources, source.outgoing):
                 body = b"".join(attempts.read_parts(source.answer))
         except attempts.AttemptError as error:
             return model.Refused(error.reason, True)
@@ -305,7 +305,7 @@
         upstream: fleet_model.FleetUpstream,
         reason: reasons.Reason,
     ) -> None:
-        if request.has_survived():
+        if request.was_healthy():
             self._crashes.record_answer(request.fingerprint)
         elif reason in crash_probe.BROKEN_REASONS:
             seconds = clock.now() - request.attempt_began_at
@@ -322,7 +322,7 @@
         if reason in relayed_requests.FINAL_REASONS:
             request.stop()
         elif reason not in _NOT_UPSTREAM_FAULTS:
-            self._balancer.failed(upstream.upstream_id, clock.now())
+            self._balancer.record_failure(upstream.upstream_id, clock.now())
         request.record_failure(upstream.upstream_id, reason, self._view)
 
 
--- a/bilberrydrum/requests/attempts.py
+++ b/bilberrydrum/requests/attempts.py
@@ -71,8 +71,8 @@
 
 
 @attrs.frozen
-class Means:
-    """The connections and the client checks that all attempts of a process share."""
+class Resources:
+    """The connection pool and the client checks that a process's attempts share."""
 
     pool: connections.ConnectionPool
     clients: watch.ClientWatch
@@ -80,7 +80,9 @@
 
 @contextlib.contextmanager
 def bounded_wait(
-    means: Means, outgoing: outgoing_requests.Outgoing, max_wait: float = math.inf
+    resources: Resources,
+    outgoing: outgoing_requests.Outgoing,
+    max_wait: float = math.inf,
 ) -> Iterator[None]:
     """Raise `AttemptError` in the block at the deadline, or when the client is gone.
 
@@ -94,7 +96,7 @@
         # client's retry.
         is_client_gone = model.never_gone
     try:
-        with means.clients.ending_with_client(is_client_gone):
+        with resources.clients.ending_with_client(is_client_gone):
             yield
     except watch.ClientGoneError as error:
         raise AttemptError(
@@ -180,7 +182,7 @@
 def _exchange(
     connection: connections.Connection, outgoing: outgoing_requests.Outgoing
 ) -> Any:
-    # Connecting may have taken long, and the process may have been stopped since the
+    # Connecting may have taken long, and the process may have been suspended since the
     # request was admitted or claimed. Meanwhile another bundle may have come into
     # force, or other gateways may consider the claim lost; then the request must not be
     # sent. This is therefore checked after connecting, immediately before the send.
@@ -212,8 +214,7 @@
         raise AttemptError(
             reasons.Reason.ANSWER_MISMATCHED,
             True,
-            f"expected an answer to request {outgoing.request_id!r}, got one to"
-            f" {given!r}",
+            f"expected an answer to this request, got one to {given!r}",
         )
 
 
@@ -281,7 +282,7 @@
 
 
 def call(
-    means: Means,
+    resources: Resources,
     upstream: Endpoint,
     outgoing: outgoing_requests.Outgoing,
 ) -> model.ApplicationAnswer:
@@ -292,15 +293,15 @@
     AttemptError
         If there is no complete answer, or if it reports that the service failed.
     """
-    with bounded_wait(means, outgoing):
-        connection, answer = open_answer(means.pool, upstream.address, outgoing)
+    with bounded_wait(resources, outgoing):
+        connection, answer = open_answer(resources.pool, upstream.address, outgoing)
         try:
             body = _read_complete(answer, outgoing)
         except BaseException:
             connection.close()
             raise
         is_named = outgoing.id_header in answer.headers
-        keep_or_close(means.pool, upstream.address, connection, answer, is_named)
+        keep_or_close(resources.pool, upstream.address, connection, answer, is_named)
     headers = outgoing_requests.end_to_end_headers(answer.headers)
     complete = model.ApplicationAnswer(
         answer.status, headers, body, upstream.upstream_id, is_named
@@ -340,7 +341,7 @@
 
 
 def stream(
-    means: Means,
+    resources: Resources,
     upstream: Endpoint,
     outgoing: outgoing_requests.Outgoing,
 ) -> Generator[model.StreamEvent, None, None]:
@@ -353,8 +354,8 @@
     AttemptError
         If the stream ends incomplete.
     """
-    with bounded_wait(means, outgoing):
-        connection, answer = open_answer(means.pool, upstream.address, outgoing)
+    with bounded_wait(resources, outgoing):
+        connection, answer = open_answer(resources.pool, upstream.address, outgoing)
     is_complete = False
     try:
         _check_status(answer)
@@ -364,7 +365,7 @@
         # the deadline bounds this wait.
         max_wait = math.inf
         while True:
-            with bounded_wait(means, outgoing, max_wait):
+            with bounded_wait(resources, outgoing, max_wait):
                 part = next(parts, None)
             if part is None:
                 break
@@ -382,7 +383,7 @@
             # Each event carried the request's id, so no other answer can have been
             # read.
             keep_or_close(
-                means.pool, upstream.address, connection, answer, is_named=True
+                resources.pool, upstream.address, connection, answer, is_named=True
             )
         else:
             connection.close()
--- a/bilberrydrum/requests/crash_record.py
+++ b/bilberrydrum/requests/crash_record.py
@@ -80,7 +80,7 @@
     def _report(self, message: messages.ReportCrashes) -> result.Result[Any, Any]:
         command = crash_commands.RecordCrashes(message.reports, message.cleared)
         return self._commit(command).map(
-            lambda noted: messages.CrashesRecorded(self.crashes_index)
+            lambda applied: messages.CrashesRecorded(self.crashes_index)
         )
 
     def lift(self, fingerprint: str) -> None:
--- a/bilberrydrum/requests/dispatch.py
+++ b/bilberrydrum/requests/dispatch.py
@@ -35,8 +35,8 @@
 )
 from bilberrydrum.upstreams import model as upstream_model
 
-# Time between passes over the queue when no call ends, in seconds.
-PUMP_SECONDS: Final = 0.02
+# Time between scheduling passes over the queue when no call ends, in seconds.
+QUEUE_PASS_SECONDS: Final = 0.02
 # Time between counts of the gateways that share the upstreams, in seconds.
 _COUNT_SECONDS: Final = 1.0
 # Time between checks whether the client of a waiting call is still connected, in
@@ -66,7 +66,9 @@
         self._bundles = bundles
         self._registry = registry
         self._rng = random.Random()
-        self._means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
+        self._resources = attempts.Resources(
+            connections.ConnectionPool(), watch.ClientWatch()
+        )
         self._process_token = uuid.uuid4().hex[:12]
         self._attempt_numbers = itertools.count(1)
         self._admission = admission.Admission(
@@ -77,7 +79,7 @@
         self.crashes = crash_memory.CrashMemory(record or crash_record.LocalRecord())
         self._recovery = recovery.Recovery(
             self._router,
-            self._means.pool,
+            self._resources.pool,
             self.budget,
             settings.requests.max_attempts,
             self.crashes,
@@ -93,7 +95,7 @@
 
     def start(self) -> None:
         """Start the dispatcher's tasks."""
-        self._means.clients.start()
+        self._resources.clients.start()
         self.crashes.start()
         self._task = eventlet.spawn(self._run)
 
@@ -103,8 +105,8 @@
             self._task.kill()
             self._task = None
         self.crashes.stop()
-        self._means.clients.stop()
-        self._means.pool.close()
+        self._resources.clients.stop()
+        self._resources.pool.close()
 
     @property
     def n_in_flight(self) -> int:
@@ -122,7 +124,7 @@
         while self.n_in_flight or self.n_waiting:
             if clock.now() >= end:
                 return False
-            clock.sleep(PUMP_SECONDS)
+            clock.sleep(QUEUE_PASS_SECONDS)
         return True
 
     def stream(self, call: model.ModelCall) -> Iterator[model.StreamEvent]:
@@ -139,7 +141,7 @@
                     outgoing = outgoing_requests.for_engine(
                         call, self._attempt_id(call), self._refusal_of(call)
                     )
-                    events = attempts.stream(self._means, upstream, outgoing)
+                    events = attempts.stream(self._resources, upstream, outgoing)
                     with contextlib.closing(events):
                         for event in events:
                             progress.record_event(event)
@@ -174,7 +176,7 @@
                     outgoing.deadline = self._recovery.attempt_deadline(
                         call, progress, mean, clock.now()
                     )
-                    answer = attempts.call(self._means, upstream, outgoing)
+                    answer = attempts.call(self._resources, upstream, outgoing)
                 self._recovery.record_answer(call)
                 return result.Ok(answer)
             except RefusedError as error:
@@ -193,7 +195,7 @@
 
         def find_refusal() -> reasons.Reason | None:
             # The bundle's lease is checked again at every attempt: while the call
-            # waited, or the process was stopped, another bundle may have come into
+            # waited, or the process was suspended, another bundle may have come into
             # force.
             bundle = self._bundles.current()
             if isinstance(bundle, result.Err):
@@ -271,7 +273,7 @@
         self._router.record_end(upstream.upstream_id, now, seconds, cost)
         self._admission.record_end(now, ticket, cost, is_complete)
         if self._admission.n_waiting:
-            self._pump()
+            self._schedule_waiting()
 
     def _wait_for_capacity(
         self, call: calls.Call, ticket: queues.Ticket
@@ -314,14 +316,14 @@
     def _run(self) -> None:
         while True:
             self._queued.wait()
-            clock.sleep(PUMP_SECONDS)
+            clock.sleep(QUEUE_PASS_SECONDS)
             if self._admission.n_waiting:
-                self._pump()
+                self._schedule_waiting()
             else:
                 # Sleep until a call waits: an idle gateway has nothing to do.
                 self._queued = eventlet.event.Event()
 
-    def _pump(self) -> None:
+    def _schedule_waiting(self) -> None:
         for effect in self._admission.schedule_waiting(clock.now(), self._assign):
             self._notify(effect)
 
--- a/bilberrydrum/requests/events.py
+++ b/bilberrydrum/requests/events.py
@@ -77,8 +77,7 @@
         if document.get("id") != self.request_id:
             raise StreamError(
                 reasons.Reason.ANSWER_MISMATCHED,
-                f"expected an event of request {self.request_id!r}, got one of"
-                f" {document.get('id')!r}",
+                f"expected an event of this request, got one of {document.get('id')!r}",
             )
         if self._finish_reason:
             raise StreamError(
--- a/bilberrydrum/requests/recovery.py
+++ b/bilberrydrum/requests/recovery.py
@@ -58,7 +58,7 @@
             if self.first_tokens_at is None:
                 self.first_tokens_at = clock.now()
 
-    def has_survived(self) -> bool:
+    def was_healthy(self) -> bool:
         """Return whether the stream ran long enough to clear the call of suspicion."""
         if self.first_tokens_at is None:
             return False
@@ -107,7 +107,7 @@
         )
         if error.is_refusal:
             return progress.last_failure
-        if progress.has_survived() or error.answer is not None:
+        if progress.was_healthy() or error.answer is not None:
             self.crashes.record_answer(call)
         else:
             seconds = now - progress.began_at
--- a/bilberrydrum/requests/single_calls.py
+++ b/bilberrydrum/requests/single_calls.py
@@ -42,7 +42,7 @@
     ----------
     prepare : callable
         Called when the connection is established, and returns the request, or None if
-        it must not be sent. Connecting takes time, and a process that was stopped
+        it must not be sent. Connecting takes time, and a process that was suspended
         meanwhile may have lost the right to send.
     seconds : float
         Timeout of the call, connecting included.
--- a/bilberrydrum/samples/owner.py
+++ b/bilberrydrum/samples/owner.py
@@ -183,8 +183,8 @@
     def _schedule_forever(self) -> None:
         while True:
             is_idle = not self._schedule.wanted_by_key
-            tick = _IDLE_PASS_INTERVAL_SECONDS if is_idle else _PASS_INTERVAL_SECONDS
-            with eventlet.Timeout(tick, False):
+            pause = _IDLE_PASS_INTERVAL_SECONDS if is_idle else _PASS_INTERVAL_SECONDS
+            with eventlet.Timeout(pause, False):
                 self._pass_requested.wait()
                 clock.sleep(_COALESCE_SECONDS)
             self._pass_requested = eventlet.event.Event()
--- a/bilberrydrum/transport.py
+++ b/bilberrydrum/transport.py
@@ -32,13 +32,13 @@
 # before the process at its other end counts as lost (after 3 s).
 HEARTBEAT_MS: Final = 500
 HEARTBEAT_TIMEOUT_MS: Final = 1500
-# An attempt to connect is given up and repeated after this many milliseconds, a few
+# An attempt to connect is aborted and repeated after this many milliseconds, a few
 # times the longest latency between two regions. A host without power does not answer,
 # and the kernel repeats its request only after a second. After a power loss of all
 # hosts, the first replica to return would wait this second for those that return 0.4 s
 # after it, and the group with it.
 CONNECT_TIMEOUT_MS: Final = 300
-# A connection that was accepted, but on which the handshake gets no answer, is given up
+# A connection that was accepted, but on which the handshake gets no answer, is closed
 # after this many milliseconds. ZeroMQ's default is 30 s.
 HANDSHAKE_TIMEOUT_MS: Final = 1000
 # Longest interval between attempts to connect to an absent peer, in milliseconds. After
@@ -276,7 +276,7 @@
             dealer.setsockopt(zmq.SNDHWM, SEND_HIGH_WATER_MARK)
             # Without heartbeats, the connection would stay half open after the peer
             # stopped without closing it or the link went silent, until the kernel
-            # gives up minutes later.
+            # closes it minutes later.
             dealer.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
             dealer.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
             # A host without power does not answer an attempt to connect. Without the
--- a/bilberrydrum_cli/local.py
+++ b/bilberrydrum_cli/local.py
@@ -74,14 +74,14 @@
 def write_new(path: str, data: bytes) -> result.Result[None, findings.Finding]:
     """Write and sync a new file; remove it if that fails."""
     try:
-        # Mode `x`: an existing back-up is not overwritten, as the new one may be worse.
+        # Mode `x`: an existing backup is not overwritten, as the new one may be worse.
         with open(path, "xb") as file:
             try:
                 file.write(data)
                 file.flush()
                 os.fsync(file.fileno())
             except OSError:
-                # A partial file would look like a back-up until somebody restored it.
+                # A partial file would look like a backup until somebody restored it.
                 os.unlink(path)
                 raise
     except OSError as error:
--- a/bilberrydrum_cli/rotation.py
+++ b/bilberrydrum_cli/rotation.py
@@ -91,7 +91,7 @@
         left = self._deadline - now - pause
         if left <= 0:
             return GiveUp()
-        # A frozen gateway accepts the connection and never answers. So each attempt
+        # A suspended gateway accepts the connection and never answers. So each attempt
         # gets only its share of the time, to leave enough for the other gateways.
         n_left = len(self._gateways) - self._n_failed % len(self._gateways)
         share = max(left / n_left, MIN_ATTEMPT_SECONDS)
--- a/bilberrydrum_cli/verbs.py
+++ b/bilberrydrum_cli/verbs.py
@@ -300,7 +300,7 @@
     ("trainer",): "trainers",
     ("sample",): "samples",
     ("state",): "the state group",
-    ("state", "snapshot"): "back-up and restore of the state",
+    ("state", "snapshot"): "backup and restore of the state",
     ("settings",): "settings of a daemon",
     ("keys",): "keys between the system's processes",
 }
--- a/simulation/service.py
+++ b/simulation/service.py
@@ -78,14 +78,14 @@
         assert chosen is not None
         upstream_id = chosen.upstream_id
         upstream = self._upstreams_by_id[upstream_id]
-        balancer.begin(upstream_id)
+        balancer.record_start(upstream_id)
 
         def on_answer() -> None:
-            balancer.end(upstream_id)
+            balancer.record_end(upstream_id)
             head = upstream_protocol.AnswerHead(
                 n_running=upstream.n_running, n_waiting=upstream.n_waiting
             )
-            balancer.succeeded(upstream_id, head, self._loop.now)
+            balancer.record_success(upstream_id, head, self._loop.now)
             done(self._loop.now - began)
 
         upstream.submit(lognormal(self._rng, mean_seconds, self._spread), on_answer)
--- a/tests/relay_support.py
+++ b/tests/relay_support.py
@@ -110,11 +110,13 @@
             for n, server in enumerate(self.servers)
         ]
         self.view = View(upstreams)
-        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
+        resources = attempts.Resources(
+            connections.ConnectionPool(), watch.ClientWatch()
+        )
         rng = random.Random(1)
         balancer = balancing.Balancer("near", rng)
         crashes = crash_watch.CrashWatch(self.view, None)
-        parts = (Protocol(), self.view, means, balancer, rng, crashes)
+        parts = (Protocol(), self.view, resources, balancer, rng, crashes)
         self.streams = streams.StreamRelay(*parts)
         return relay.Relay(*parts, hedges=hedging.Hedging())
 
--- a/tests/test_batches_any_fault.py
+++ b/tests/test_batches_any_fault.py
@@ -144,12 +144,14 @@
             clock.now() + 5.0,
             lambda: None,
         )
-        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
+        resources = attempts.Resources(
+            connections.ConnectionPool(), watch.ClientWatch()
+        )
         try:
             with eventlet.Timeout(5.0):
                 upstream = answers.upstream_at(engine)
                 ended = item_run.carry_out(
-                    means, answers.Protocol(), upstream, run, 5.0
+                    resources, answers.Protocol(), upstream, run, 5.0
                 )
         finally:
             engine.stop()
--- a/tests/test_batches_ended.py
+++ b/tests/test_batches_ended.py
@@ -136,7 +136,9 @@
         self.engine = self.engine_server()
         self.before_pass = lambda: None
         self.view = view = View(self.engine, n_slots=2 * n_items)
-        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
+        resources = attempts.Resources(
+            connections.ConnectionPool(), watch.ClientWatch()
+        )
         rng = random.Random(1)
         protocol = node_protocol.PlainProtocol()
         crashes = crash_watch.CrashWatch(view, None)
@@ -151,14 +153,16 @@
             holder="me",
         )
         relay_ = relay.Relay(
-            protocol, view, means, balancing.Balancer("z", rng), rng, crashes
+            protocol, view, resources, balancing.Balancer("z", rng), rng, crashes
         )
         # In production, a pass begins after a pause, which may end at any moment.
         for name in ("_COALESCE_SECONDS", "_PAUSE_FACTOR"):
             gathering = mock.patch.object(runner, name, 0.0)
             gathering.start()
             self.addCleanup(gathering.stop)
-        self.runner = runner.BatchRunner(protocol, view, means, given, relay_, crashes)
+        self.runner = runner.BatchRunner(
+            protocol, view, resources, given, relay_, crashes
+        )
         self.runner.start([batch("b1", n_items)])
         self.addCleanup(self.runner.stop)
         self.wait_for(lambda: self.engine.n_running == n_items)
--- a/tests/test_batches_incarnations.py
+++ b/tests/test_batches_incarnations.py
@@ -31,8 +31,10 @@
         upstream = fleet_model.FleetUpstream(
             "e", "s", self.engine.address, "z", 2, started_at_ms=known_start
         )
-        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
-        sender = orders.OrderSender(means, node_protocol.PlainProtocol(), lambda: 1)
+        resources = attempts.Resources(
+            connections.ConnectionPool(), watch.ClientWatch()
+        )
+        sender = orders.OrderSender(resources, node_protocol.PlainProtocol(), lambda: 1)
         load = weight_plan.Load(upstream.upstream_id, "m", 2)
         order = orders.Order(load, True, "holder", lambda: is_wanted)
         sender.carry_out(upstream, order)
--- a/tests/test_batches_item_run.py
+++ b/tests/test_batches_item_run.py
@@ -130,10 +130,12 @@
             clock.now() + 5.0,
             find_refusal,
         )
-        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
+        resources = attempts.Resources(
+            connections.ConnectionPool(), watch.ClientWatch()
+        )
         with eventlet.Timeout(5.0):
             upstream = upstream_at(engine)
-            self.ended = item_run.carry_out(means, Protocol(), upstream, run, 5.0)
+            self.ended = item_run.carry_out(resources, Protocol(), upstream, run, 5.0)
         return self.ended.outcome
 
     @tools.params(
@@ -192,9 +194,9 @@
         """An item is given up although no engine has refused it.
 
         The head of an answer is truncated before the request id, so it may be a surplus
-        answer to an earlier request on the connection. Its status used to be applied to
-        this item: 422 ended the item, and 500 counted as its failure. Engines send the
-        request id in all answers.
+        answer to an earlier request on the connection. If its status were
+        applied to this item, 422 would end the item, and 500 would count as its
+        failure. Engines send the request id in all answers.
         """
         self.assertEqual(self.run_item(data), Outcome.BROKEN, name)
         self.assertFalse(self.ended.is_cut_off, name)
@@ -334,9 +336,9 @@
         """A text that lacks its beginning is listed as completed.
 
         An item starts, and the first event of the answer is not event 1: earlier events
-        were lost, or the answer is part of another one. Any number used to be accepted
-        as the first event of an empty text. Genuine streams start with event 1 (1,236
-        of 1,236).
+        were lost, or the answer is part of another one. If any number were accepted as
+        the first event of an empty text, the rest would be taken for the complete text.
+        Genuine streams start with event 1 (1,236 of 1,236).
         """
         data = answer(chunked(event(number), event(number + 1)))
         self.assertEqual((self.run_item(data), self.text.parts), (Outcome.BROKEN, []))
@@ -355,8 +357,9 @@
         """A text gets events of a run that did not resume after its last event.
 
         The engine is asked to resume after event 2. Before it answers, the text
-        changes: it is cleared, or another run appends to it. The first event of the
-        answer used to be compared with the changed text instead of the request.
+        changes: it is cleared, or another run appends to it. If the first event of
+        the answer is compared with the changed text instead of the request, it may seem
+        to follow.
         """
         text = texts.Text([b"a", b"b"], {2}, 2)
         data = answer(chunked(event(first, b"c"), event(first + 1, b"d")))
@@ -466,8 +469,10 @@
             clock.now() + 5.0,
             lambda: None,
         )
-        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
-        ended = item_run.carry_out(means, Protocol(), upstream_at(engine), run, 5.0)
+        resources = attempts.Resources(
+            connections.ConnectionPool(), watch.ClientWatch()
+        )
+        ended = item_run.carry_out(resources, Protocol(), upstream_at(engine), run, 5.0)
         self.assertEqual(ended.outcome, Outcome.UNREACHABLE)
 
     def test_reader_continues_after_an_event(self):
--- a/tests/test_batches_scheduling_pass.py
+++ b/tests/test_batches_scheduling_pass.py
@@ -62,7 +62,7 @@
         self.runner = runner.BatchRunner(
             None,
             self.view,
-            attempts.Means(connections.ConnectionPool(), watch.ClientWatch()),
+            attempts.Resources(connections.ConnectionPool(), watch.ClientWatch()),
             given_hooks(),
             None,
             types.SimpleNamespace(standing=lambda fingerprint: standing),
--- a/tests/test_batches_score_sender.py
+++ b/tests/test_batches_score_sender.py
@@ -124,12 +124,14 @@
             self.addCleanup(server.stop)
             self.servers.append(server)
         self.view = View(self.servers, n_slots)
-        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
+        resources = attempts.Resources(
+            connections.ConnectionPool(), watch.ClientWatch()
+        )
         rng = random.Random(1)
         balancer = balancing.Balancer("z", rng)
         crashes = crash_watch.CrashWatch(self.view, None)
         request_relay = relay.Relay(
-            Protocol(), self.view, means, balancer, rng, crashes
+            Protocol(), self.view, resources, balancer, rng, crashes
         )
         self.scored, self.finished, self.may_send = [], [], True
         given = hooks.Hooks(
--- a/tests/test_batches_service.py
+++ b/tests/test_batches_service.py
@@ -95,7 +95,7 @@
         self.addCleanup(runner_patch.stop)
         self.replica = Replica(helpers.ManualClock(1000.0))
         self.carrier = mock.Mock(process_id="me")
-        given = dict.fromkeys(("view", "protocol", "means", "relay_", "crashes"))
+        given = dict.fromkeys(("view", "protocol", "resources", "relay_", "crashes"))
         self.service = service.BatchService(
             self.replica,
             self.carrier,
@@ -109,7 +109,7 @@
         self.addCleanup(self.service.stop)
         self.wait_for(lambda: len(self.runners) == 1)
 
-    def make_runner(self, protocol, view, means, hooks, relay_, crashes):
+    def make_runner(self, protocol, view, resources, hooks, relay_, crashes):
         self.runners.append(Runner(hooks))
         return self.runners[-1]
 
--- a/tests/test_batches_weight_cost.py
+++ b/tests/test_batches_weight_cost.py
@@ -102,9 +102,9 @@
     def test_many_loads(self, name, n_loading, max_loading):
         """A scheduling pass blocks the process while many loads are due.
 
-        The planner used to check all engines of the model again for each load. With
-        3,000 engines and 500 due loads this took 0.27 s in each scheduling pass, and
-        more if half of the engines were loading already and no load could start.
+        If the planner checks all engines of the model again for each load, this takes
+        0.27 s in each scheduling pass with 3,000 engines and 500 due loads, and more if
+        half of the engines were loading already and no load could start.
         """
         given = [engine(n, {"m": 1}, is_loading=n < n_loading) for n in range(300)]
         shares = {"m": frozenset(each.upstream_id for each in given)}
--- a/tests/test_relay_balancing.py
+++ b/tests/test_relay_balancing.py
@@ -23,14 +23,14 @@
         chosen = []
         for _ in range(3):
             upstream = balancer.choose(known, (), 100.0)
-            balancer.begin(upstream.upstream_id)
+            balancer.record_start(upstream.upstream_id)
             chosen.append(upstream.upstream_id)
         self.assertEqual(chosen, ["u0", "u1", "u0"])
 
     def test_failed_upstream_is_avoided_during_backoff(self):
         balancer = balancing.Balancer("near", random.Random(1))
         known = self.upstreams("near", "far")
-        balancer.failed("u0", 100.0)
+        balancer.record_failure("u0", 100.0)
         self.assertEqual(balancer.choose(known, (), 100.1).upstream_id, "u1")
         self.assertEqual(balancer.choose(known, (), 100.6).upstream_id, "u0")
 
@@ -41,8 +41,8 @@
         whose backoff ends first is chosen.
         """
         balancer = balancing.Balancer("near", random.Random(1))
-        balancer.failed("u0", 100.2)
-        balancer.failed("u1", 100.0)
+        balancer.record_failure("u0", 100.2)
+        balancer.record_failure("u1", 100.0)
         known = self.upstreams("near", "far")
         self.assertEqual(balancer.choose(known, (), 100.3).upstream_id, "u1")
 
@@ -50,7 +50,7 @@
         balancer = balancing.Balancer("near", random.Random(1))
         known = self.upstreams("near", "near")
         head = upstream_protocol.AnswerHead(n_running=2, n_waiting=3)
-        balancer.succeeded("u0", head, 100.0)
+        balancer.record_success("u0", head, 100.0)
         for _ in range(20):
             chosen = balancer.choose(known, (), 100.1)
             self.assertEqual(chosen.upstream_id, "u1")
--- a/tests/test_requests_attempts.py
+++ b/tests/test_requests_attempts.py
@@ -20,8 +20,8 @@
 Reason = reasons.Reason
 
 
-def means() -> attempts.Means:
-    return attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
+def resources() -> attempts.Resources:
+    return attempts.Resources(connections.ConnectionPool(), watch.ClientWatch())
 
 
 def outgoing(request_id="r1", seconds=5.0, method="GET", **fields):
@@ -67,10 +67,10 @@
 
 class CompleteAnswers(unittest.TestCase):
     def setUp(self):
-        self.means = means()
+        self.resources = resources()
         self.upstreams = []
         self.addCleanup(lambda: [u.stop() for u in self.upstreams])
-        self.addCleanup(self.means.pool.close)
+        self.addCleanup(self.resources.pool.close)
 
     def upstream(self, script, **fields):
         fake = scripted.Scripted(script, kind="application", **fields)
@@ -78,7 +78,7 @@
         return fake
 
     def call(self, fake, **fields):
-        return attempts.call(self.means, fake.upstream("u"), outgoing(**fields))
+        return attempts.call(self.resources, fake.upstream("u"), outgoing(**fields))
 
     @tools.params(
         ("body shorter than its length", truncated, Reason.ANSWER_TRUNCATED),
@@ -104,7 +104,7 @@
             self.call(fake)
         self.assertEqual(caught.exception.reason, reason, name)
         self.assertTrue(caught.exception.may_have_run)
-        self.assertEqual(self.means.pool.n_idle, 0)
+        self.assertEqual(self.resources.pool.n_idle, 0)
 
     @tools.params(
         ("may be repeated", {"may_repeat": True}, False, [1, 1]),
@@ -139,7 +139,7 @@
                 self.assertEqual(self.call(fake, **fields).status, 200)
         self.assertEqual(received, expected, name)
         if fields.get("may_repeat"):
-            self.assertEqual(self.means.pool.n_idle, 1)
+            self.assertEqual(self.resources.pool.n_idle, 1)
 
     def test_connection_refused_is_known_not_to_have_run(self):
         fake = self.upstream(scripted.serve(scripted.answer))
@@ -157,7 +157,7 @@
         fake = self.upstream(scripted.serve(scripted.answer))
         with (
             unittest.mock.patch.object(
-                self.means.pool, "take", lambda *args, **kwargs: eventlet.sleep(5)
+                self.resources.pool, "take", lambda *args, **kwargs: eventlet.sleep(5)
             ),
             self.assertRaises(attempts.AttemptError) as caught,
         ):
@@ -182,7 +182,7 @@
         with self.assertRaises(attempts.AttemptError) as caught:
             self.call(fake, request_id="slow", seconds=0.05)
         self.assertEqual(caught.exception.reason, Reason.UPSTREAM_TIMEOUT)
-        self.assertEqual(self.means.pool.n_idle, 0)
+        self.assertEqual(self.resources.pool.n_idle, 0)
         eventlet.sleep(0.15)
         self.assertEqual(self.call(fake, request_id="next").body, b"next")
 
@@ -224,7 +224,7 @@
         with self.assertRaises(attempts.AttemptError) as caught:
             self.call(fake, request_id="next")
         self.assertEqual(caught.exception.reason, Reason.ANSWER_MISMATCHED)
-        self.assertEqual(self.means.pool.n_idle, 0)
+        self.assertEqual(self.resources.pool.n_idle, 0)
 
     def test_idle_connection_that_the_service_closed_is_not_used(self):
         fake = self.upstream(scripted.serve_and_close(scripted.answer))
@@ -302,8 +302,8 @@
         the work, and its capacity is free at once and not only at the deadline.
         """
         fake = self.upstream(lambda connection, received: eventlet.sleep(30))
-        self.means.clients.start()
-        self.addCleanup(self.means.clients.stop)
+        self.resources.clients.start()
+        self.addCleanup(self.resources.clients.stop)
         gone = []
         eventlet.spawn_after(0.05, gone.append, True)
         with eventlet.Timeout(5), self.assertRaises(attempts.AttemptError) as caught:
@@ -325,7 +325,7 @@
             self.call, fake, is_idempotent=False, is_client_gone=lambda: True
         )
         eventlet.sleep(0.05)
-        self.means.clients.check_all()
+        self.resources.clients.check_all()
         self.assertEqual(task.wait().body, b"booked")
 
 
--- a/tests/test_requests_resets.py
+++ b/tests/test_requests_resets.py
@@ -43,8 +43,10 @@
 
 class Unframed(unittest.TestCase):
     def setUp(self):
-        self.means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
-        self.addCleanup(self.means.pool.close)
+        self.resources = attempts.Resources(
+            connections.ConnectionPool(), watch.ClientWatch()
+        )
+        self.addCleanup(self.resources.pool.close)
 
     def upstream(self, script):
         server = scripted.Scripted(script, kind="engine")
@@ -72,7 +74,7 @@
             accepts_unframed=True,
         )
         try:
-            given = attempts.call(self.means, upstream, outgoing).body
+            given = attempts.call(self.resources, upstream, outgoing).body
         except attempts.AttemptError:
             given = None
         self.assertEqual(given, b"all or a part" if is_whole else None, name)
@@ -95,6 +97,6 @@
             lambda: None,
         )
         ended = item_run.carry_out(
-            self.means, node_protocol.PlainProtocol(), upstream, run, 5.0
+            self.resources, node_protocol.PlainProtocol(), upstream, run, 5.0
         )
         self.assertEqual(ended.outcome, outcome, name)
