--- a/bilberrydrum/batches/demand.py
+++ b/bilberrydrum/batches/demand.py
@@ -1,4 +1,4 @@
-"""Track what trainers have asked for recently: amount of work and weight versions."""
+"""Track what trainers have requested recently: amount of work and weight versions."""
 
 from collections.abc import Mapping, Sequence
 from typing import Final
@@ -9,14 +9,14 @@
 
 
 class Demand:
-    """How much work each model's trainer has asked for within a time window."""
+    """How much work each model's trainer has requested within a time window."""
 
     def __init__(self, window_seconds: float) -> None:
         self._window_seconds = window_seconds
         self._entries: list[tuple[float, str, float]] = []
 
     def record(self, model_name: str, amount: float, now: float) -> None:
-        """Record work that was asked for."""
+        """Record work that was requested."""
         self._entries.append((now, model_name, amount))
 
     def by_model(self, models: Sequence[str], now: float) -> dict[str, float]:
--- a/bilberrydrum/batches/scheduling.py
+++ b/bilberrydrum/batches/scheduling.py
@@ -12,9 +12,9 @@
 Items that run at slow engines are scheduled together with the waiting ones. A text is
 resumed where it stopped, so a move costs one reading of the prompt, while one slow
 engine delays every group that has an item on it. These items are ordered by their
-remaining time like all others. When they were moved only to capacity for which no item
-waited, they stayed where they were while two fifths of the engines were slow: an item
-of 89 events took 9.8 s, and its trainer lost two steps.
+remaining time like all others. If they were moved only to capacity for which no item
+waits, they would stay where they are while two fifths of the engines are slow: an item
+of 89 events then took 9.8 s, and its trainer lost two steps.
 """
 
 from collections.abc import Callable, Hashable, Mapping, Sequence
--- a/bilberrydrum/batches/urgency.py
+++ b/bilberrydrum/batches/urgency.py
@@ -16,8 +16,8 @@
 - Groups that can no longer be complete in time go after those that can. Under overload,
   each late group would otherwise make another one late.
 - A late group does not go after its own trainer's next step, because the trainer starts
-  the step after that only when it has finished this one. When late groups did, a step
-  that was late after a power failure ended after its successor and delayed the trainer
+  the step after that only when it has finished this one. If late groups did, a step
+  that is late after a power failure would end after its successor and delay the trainer
   by another five seconds.
 """
 
--- a/bilberrydrum/keys.py
+++ b/bilberrydrum/keys.py
@@ -76,7 +76,7 @@
     for name in ("public", "secret"):
         if not is_key(getattr(reading.value, name)):
             reading.report(_key_rule(name), (name,))
-    # Whoever can read the secret key can impersonate this process.
+    # Anyone who can read the secret key can impersonate this process.
     if os.stat(path).st_mode & _GROUP_AND_OTHERS:
         reading.report("others than its owner may access this file; use chmod 600", ())
     return reading.finish()
--- a/bilberrydrum/quarantine.py
+++ b/bilberrydrum/quarantine.py
@@ -277,8 +277,8 @@
     def record_upstream_crash(self, upstream_id: str, ended_at: float) -> None:
         """Record a crash as unrelated to all known requests.
 
-        Requests that were running there take it back: `record` turns it into a crash of
-        theirs.
+        If a request was running there, `record` later counts the crash for that request
+        instead.
         """
         if not self.is_crowded or upstream_id in self.ends_by_id:
             return
--- a/bilberrydrum/relay/crash_watch.py
+++ b/bilberrydrum/relay/crash_watch.py
@@ -25,7 +25,7 @@
 # Timeout for the control group to acknowledge a report, and the delay before a retry.
 _REPORT_SECONDS: Final = 2.0
 _PAUSE_SECONDS: Final = 0.3
-# Timeout of the question whether a suspected request may be tried. Its caller waits.
+# Timeout of the query whether a suspected request may be tried. Its caller waits.
 _TRIAL_SECONDS: Final = 0.3
 
 
@@ -153,8 +153,8 @@
         The leader knows whether another copy of the request is being tried elsewhere.
         If the leader does not answer, one may be, and the request is not sent.
         """
-        asked = messages.AskTrial(fingerprint)
-        answer = self._calls.call(asked, _TRIAL_SECONDS)
+        request = messages.AskTrial(fingerprint)
+        answer = self._calls.call(request, _TRIAL_SECONDS)
         return isinstance(answer, result.Ok) and bool(answer.ok_value.is_granted)
 
     def _is_history_empty(self) -> bool:
--- a/bilberrydrum/requests/admission.py
+++ b/bilberrydrum/requests/admission.py
@@ -195,7 +195,8 @@
         domain.n_waiting -= 1
         # Entries of withdrawn calls stay in the heaps until they reach the top. Once
         # most entries are withdrawn, the heap is rebuilt without them. Otherwise it
-        # would grow without bound while clients keep connecting and hanging up.
+        # would grow without bound while clients keep connecting and
+        # disconnecting.
         late = domain.by_latest_start
         if len(late) > 64 + 4 * domain.n_waiting:
             domain.by_latest_start = [entry for entry in late if entry[2].is_waiting]
--- a/bilberrydrum/requests/recovery.py
+++ b/bilberrydrum/requests/recovery.py
@@ -194,7 +194,7 @@
         is_timeout = error.reason is reasons.Reason.UPSTREAM_TIMEOUT
         if is_timeout and now - progress.began_at < MIN_ATTEMPT_TIMEOUT_SECONDS:
             return
-        # The other connections to this address are probably dead too.
+        # The other connections to this address are probably broken too.
         self.pool.forget(upstream.address)
         if self.router.health.record_failure(upstream.upstream_id, now):
             eliot.log_message(
--- a/bilberrydrum/samples/delivery.py
+++ b/bilberrydrum/samples/delivery.py
@@ -149,7 +149,7 @@
         rule = self._rule(request.trainer)
         if rule.is_err():
             return False
-        asked_at = clock.now()
+        queried_at = clock.now()
         answer = self._state.query(
             queries.CheckBatch(
                 request.trainer,
@@ -170,7 +170,7 @@
             and check.weight_version == batch.weight_version
             and check.fingerprint
             == model.fingerprint(each.record for each in batch.samples)
-            and clock.now() - asked_at <= MAX_CHECK_AGE_SECONDS
+            and clock.now() - queried_at <= MAX_CHECK_AGE_SECONDS
         )
 
     def _report_lost(
--- a/bilberrydrum/samples/model.py
+++ b/bilberrydrum/samples/model.py
@@ -1,8 +1,9 @@
 """Data structures of the sample service, for its messages and the replicated state.
 
-A group is one prompt with several slots. Each slot asks for one sample. An attempt is
-one try to generate a slot's sample. The record of the accepted attempt is kept in the
-replicated state; its text and tokens (the payload) are kept in memory at gateways.
+A group is one prompt with several slots. Each slot is a request for one sample. An
+attempt is one try to generate a slot's sample. The record of the accepted attempt is
+kept in the replicated state; its text and tokens (the payload) are kept in memory at
+gateways.
 """
 
 import hashlib
--- a/bilberrydrum/samples/payloads.py
+++ b/bilberrydrum/samples/payloads.py
@@ -133,8 +133,8 @@
         found: dict[str, model.Payload] = {}
         for each in wanted:
             self._accept(found, each, self._payloads_by_key.get(each.key))
-        # Each payload has at most two holders. The second one is asked for the payloads
-        # that the first one did not have.
+        # Each payload has at most two holders. The second one is requested to send the
+        # payloads that the first one did not have.
         for i_holder in range(2):
             missing = [each for each in wanted if each.key not in found]
             self._fetch_from_holders(found, missing, i_holder)
--- a/bilberrydrum/samples/queries.py
+++ b/bilberrydrum/samples/queries.py
@@ -33,7 +33,7 @@
 @codec.register("samples.check-batch")
 @attrs.frozen
 class CheckBatch:
-    """Ask whether `AssignBatch` would return a batch; answered with `BatchCheck`."""
+    """Query whether `AssignBatch` would return a batch; answered with `BatchCheck`."""
 
     trainer: str
     reader_epoch: int
@@ -58,7 +58,7 @@
 @codec.register("samples.list-unneeded")
 @attrs.frozen
 class ListUnusedPayloads:
-    """Ask which payloads no slot needs; answered with `UnusedPayloads`."""
+    """Query which payloads no slot needs; answered with `UnusedPayloads`."""
 
     keys: tuple[str, ...]
 
--- a/simulation/__main__.py
+++ b/simulation/__main__.py
@@ -42,10 +42,10 @@
     "everything on": _FULL,
     "no spare groups": attrs.evolve(_FULL, has_spare_groups=False),
     "no tiers": attrs.evolve(_FULL, has_tiers=False),
-    "batches in their order": attrs.evolve(_FULL, has_start_by=False),
-    "no engines of its own": attrs.evolve(_FULL, has_shares=False),
+    "batches by submission": attrs.evolve(_FULL, has_start_by=False),
+    "no engine shares": attrs.evolve(_FULL, has_shares=False),
     "oldest text scored first": attrs.evolve(_FULL, has_scoring_order=False),
-    "no place left free": attrs.evolve(_FULL, n_reserved_slots=0),
+    "no reserved slots": attrs.evolve(_FULL, n_reserved_slots=0),
 }
 
 
--- a/tests/batches_support.py
+++ b/tests/batches_support.py
@@ -44,7 +44,7 @@
     )
 
 
-def place(engine_id="e", n_slots=2, n_running=0, version=1, **fields):
+def make_engine(engine_id="e", n_slots=2, n_running=0, version=1, **fields):
     values = {"models": frozenset({"m"})}
     values.update(fields)
     service = values.pop("service", "s")
--- a/tests/fakes/request_path.py
+++ b/tests/fakes/request_path.py
@@ -14,10 +14,10 @@
 
 
 class StoppableStateClient:
-    """One gateway's client of the state group, at which the gateway can be stopped.
+    """One gateway's client of the state group, at which it can be suspended.
 
     From outside, a killed process and a suspended one look the same: neither sends
-    anything any more. So a stop is a wait that ends when the test resumes the gateway.
+    anything. So each stop is a wait that ends when the test resumes the gateway.
     """
 
     def __init__(self, group: gateway_parts.StateGroup) -> None:
@@ -39,7 +39,7 @@
         return self._group.query(query, timeout)
 
     def resume(self) -> None:
-        """Resume the gateway if it is stopped, and let it not stop again."""
+        """Resume the gateway if it is suspended, and don't suspend it again."""
         self.stops_before = self.stops_after = None
         if self.is_stopped:
             self.is_stopped = False
--- a/tests/relay_support.py
+++ b/tests/relay_support.py
@@ -103,7 +103,7 @@
             server = scripted.Scripted(script, kind=upstream_model.KIND_APPLICATION)
             self.addCleanup(server.stop)
             self.servers.append(server)
-        # Between idle upstreams the zone decides, so the first one is asked first.
+        # Between idle upstreams the zone decides, so the first one is tried first.
         zones = ["near", *["far"] * (len(scripts) - 1)]
         upstreams = [
             fleet_model.FleetUpstream(f"u{n}", "s", server.address, zones[n], 6)
--- a/tests/test_batches_assign.py
+++ b/tests/test_batches_assign.py
@@ -9,25 +9,25 @@
 from tests import batches_support
 
 waiting = batches_support.waiting
-place = batches_support.place
+make_engine = batches_support.make_engine
 
 
 class Assign(unittest.TestCase):
     """The order in which items are assigned, and the engines that they get."""
 
-    def keys(self, items, places):
-        assigned = scheduling.assign(items, places, 0.0)
+    def keys(self, items, engines):
+        assigned = scheduling.assign(items, engines, 0.0)
         return [(each.key[1], each.engine_id) for each in assigned]
 
     @tools.params(
-        ("no free slot", place(n_running=2), ()),
-        ("version too old", place(version=0), ()),
-        ("loads its model", place(loading_models=frozenset({"m"})), ()),
-        ("loads another model", place(loading_models=frozenset({"o"})), ("i",)),
-        ("other service", place(service="t"), ()),
-        ("memory full", place(n_running=1, n_cache_tokens=9, n_tokens=5), ()),
-        ("memory empty", place(n_cache_tokens=4), ("i",)),
-        ("failed there", place("bad"), ()),
+        ("no free slot", make_engine(n_running=2), ()),
+        ("version too old", make_engine(version=0), ()),
+        ("loads its model", make_engine(loading_models=frozenset({"m"})), ()),
+        ("loads another model", make_engine(loading_models=frozenset({"o"})), ("i",)),
+        ("other service", make_engine(service="t"), ()),
+        ("memory full", make_engine(n_running=1, n_cache_tokens=9, n_tokens=5), ()),
+        ("memory empty", make_engine(n_cache_tokens=4), ("i",)),
+        ("failed there", make_engine("bad"), ()),
     )
     def test_can_take(self, name, given, expected):
         item = waiting(n_tokens=5, excluded_ids=frozenset({"bad"}))
@@ -46,13 +46,13 @@
         them.
         """
         items = [waiting(each, group="g", is_suspected=True) for each in "ab"]
-        given = self.keys(items, [place(each, 6) for each in engine_ids])
+        given = self.keys(items, [make_engine(each, 6) for each in engine_ids])
         self.assertEqual([item_id for item_id, _ in given], taken, name)
         self.assertEqual(sorted(engine_id for _, engine_id in given), where, name)
 
     def test_suspected_item_does_not_block_others(self):
         items = [waiting("doubtful", is_suspected=True), waiting("other")]
-        given = self.keys(items, [place("e", 6, has_suspected=True)])
+        given = self.keys(items, [make_engine("e", 6, has_suspected=True)])
         self.assertEqual(given, [("other", "e")])
 
     def test_least_time_left_first(self):
@@ -68,7 +68,7 @@
             waiting("short", start_by=4.0),
             waiting("long", start_by=1.0),
         ]
-        taken = self.keys(items, [place(n_slots=5)])
+        taken = self.keys(items, [make_engine(n_slots=5)])
         names = [item_id for item_id, _ in taken]
         self.assertEqual(names, ["perhaps-late", "long", "short", "late", "spare"])
 
@@ -80,15 +80,15 @@
         engine.
         """
         items = [waiting(f"{g}{n}", group=g) for g in "xy" for n in range(4)]
-        taken = self.keys(items, [place("e1", 8), place("e2", 8)])
+        taken = self.keys(items, [make_engine("e1", 8), make_engine("e2", 8)])
         n_by_engine = collections.Counter(engine for _, engine in taken)
         self.assertLessEqual(max(n_by_engine.values()), 4 + 8 * 0.25 / 2)
         pairs = {(item_id[0], engine) for item_id, engine in taken}
         self.assertLess(len(pairs), 4)
 
     def test_group_leaves_a_busy_engine(self):
-        busy = place("e1", 8, n_running=4, group_keys={("b", "x")})
-        taken = self.keys([waiting("x0", group="x")], [busy, place("e2", 8)])
+        busy = make_engine("e1", 8, n_running=4, group_keys={("b", "x")})
+        taken = self.keys([waiting("x0", group="x")], [busy, make_engine("e2", 8)])
         self.assertEqual(taken, [("x0", "e2")])
 
     @tools.params(
@@ -96,10 +96,13 @@
         ("meant for another model", {"models": frozenset({"o"})}),
     )
     def test_second_choice(self, name, fields):
-        places = [place("e1", **fields), place("e2", n_running=1)]
-        self.assertEqual(self.keys([waiting()], places), [("i", "e2")], name)
+        engines = [make_engine("e1", **fields), make_engine("e2", n_running=1)]
+        self.assertEqual(self.keys([waiting()], engines), [("i", "e2")], name)
 
     def test_resumed_text_of_one_version(self):
         item = waiting(only_version=1)
-        places = [place("e1", version=2), place("e2", version=1, n_running=1)]
-        self.assertEqual(self.keys([item], places), [("i", "e2")])
+        engines = [
+            make_engine("e1", version=2),
+            make_engine("e2", version=1, n_running=1),
+        ]
+        self.assertEqual(self.keys([item], engines), [("i", "e2")])
--- a/tests/test_batches_ended.py
+++ b/tests/test_batches_ended.py
@@ -2,9 +2,9 @@
 
 These tests guard against a text in which events of two attempts alternate. A trainer
 ends a batch whose items still run and submits the unfinished ones again, under the same
-ids. Cancelling an attempt yields to other tasks. The runner's loop found the cancelled
-items waiting in a batch that was still open, and sent them again. Nothing cancelled
-these attempts, and the later batch resumed the very text to which they wrote.
+ids. Cancelling an attempt yields to other tasks. If the batch is still open then, the
+runner's loop finds the cancelled items waiting and sends them again. Nothing cancels
+these attempts, and the later batch resumes the same text to which they write.
 """
 
 import random
@@ -222,11 +222,11 @@
         other = self.engine_server()
         self.view.add("e2", other)
 
-        def arm():
+        def finish_once():
             self.before_pass = lambda: None
             self.engine.finish("i1")
 
-        self.before_pass = arm
+        self.before_pass = finish_once
         with self.slow("e1"):
             self.runner.wake()
             self.wait_for(lambda: len(self.results) == 2)
@@ -257,7 +257,7 @@
             eventlet.spawn(end)
             take(sender, key)
 
-        def note_and_send(sender, opened, run, engine):
+        def record_and_send(sender, opened, run, engine):
             sent.append((opened.batch.batch_id, run.item.item_id))
             send(sender, opened, run, engine)
 
@@ -267,7 +267,7 @@
             mock.patch.object(
                 item_sender.ItemSender, "cancel_for_move", end_and_cancel
             ),
-            mock.patch.object(item_sender.ItemSender, "send", note_and_send),
+            mock.patch.object(item_sender.ItemSender, "send", record_and_send),
         ):
             self.runner.wake()
             self.wait_for(lambda: ended and passes[-1] == ["b1"])
@@ -280,9 +280,9 @@
 class LogLines(RunnerCase):
     """Each attempt of an item writes one log line, with any outcome.
 
-    This guards against attempts without a log line. Cancelled attempts had none, so an
-    operator who examined a text out of order could not see which engine had generated
-    which events.
+    This guards against attempts without a log line. If cancelled attempts have none, an
+    operator who examines a text out of order can't see which engine has generated which
+    events.
     """
 
     def begin(self, n_items):
@@ -355,9 +355,9 @@
         """Guard against a replica that stops when a batch ends.
 
         While one attempt of the batch is cancelled, another receives its last bytes and
-        ends. Its entry no longer exists when it is to be cancelled. That was a
+        ends. Its entry no longer exists when it is to be cancelled. If that raises
         `KeyError` in the task that applies the group's log, where any error stops the
-        replica, and the remaining attempts of the batch were not cancelled.
+        replica, the remaining attempts of the batch are not cancelled either.
         """
         tasks = item_tasks.ItemTasks()
         cancelled, ended = [], []
--- a/tests/test_batches_engine_heap.py
+++ b/tests/test_batches_engine_heap.py
@@ -23,7 +23,7 @@
     is_suspected=strategies.sampled_from((False, False, True)),
     is_on_slow_engine=strategies.sampled_from((False, False, True)),
 )
-PLACES = strategies.builds(
+ENGINES = strategies.builds(
     dict,
     service=strategies.sampled_from(("s", "s", "t")),
     n_slots=strategies.integers(0, 5),
@@ -52,7 +52,7 @@
         strategies.sampled_from(("e00", "e01", "e02")), max_size=2
     ),
 )
-ALIKE_PLACES = strategies.builds(
+ALIKE_ENGINES = strategies.builds(
     dict,
     service=strategies.just("s"),
     n_slots=strategies.integers(2, 6),
@@ -74,108 +74,108 @@
     )
 
 
-def place_of(number, groups=(), **fields):
+def engine_of(number, groups=(), **fields):
     keys = {group_key(each) for each in groups}
     return scheduling.EngineCapacity(f"e{number:02}", group_keys=keys, **fields)
 
 
-def can_take(place, item):
+def can_take(engine, item):
     """Return whether an engine can take an item; all rules in their simplest form."""
-    version = place.versions_by_model.get(item.model)
+    version = engine.versions_by_model.get(item.model)
     has_version = not item.model or (
         version is not None
         and version >= item.min_version
         and item.only_version in (None, version)
     )
-    fits = place.n_tokens + item.n_tokens <= place.n_cache_tokens
+    fits = engine.n_tokens + item.n_tokens <= engine.n_cache_tokens
     return (
-        place.service in item.services
-        and place.n_running < place.n_slots
-        and place.engine_id not in item.excluded_ids
-        and item.model not in place.loading_models
-        and not (item.is_on_slow_engine and place.is_slow)
+        engine.service in item.services
+        and engine.n_running < engine.n_slots
+        and engine.engine_id not in item.excluded_ids
+        and item.model not in engine.loading_models
+        and not (item.is_on_slow_engine and engine.is_slow)
         and has_version
-        and not (item.is_suspected and place.has_suspected)
-        and (not place.n_cache_tokens or not place.n_running or fits)
+        and not (item.is_suspected and engine.has_suspected)
+        and (not engine.n_cache_tokens or not engine.n_running or fits)
     )
 
 
-def rank(place, item):
-    load = place.n_running / max(place.n_slots, 1)
-    if item.group_key in place.group_keys:
+def rank(engine, item):
+    load = engine.n_running / max(engine.n_slots, 1)
+    if item.group_key in engine.group_keys:
         load -= scheduling.AFFINITY_SHARE
     return (
-        place.is_silent,
-        place.is_slow,
-        item.model not in place.models,
+        engine.is_silent,
+        engine.is_slow,
+        item.model not in engine.models,
         load,
-        place.engine_id,
+        engine.engine_id,
     )
 
 
-def assigned_one_by_one(items, places):
+def assigned_one_by_one(items, engines):
     """Return the assignments if each item is compared with each engine."""
     given = []
     for item in items:
-        able = [each for each in places if can_take(each, item)]
+        able = [each for each in engines if can_take(each, item)]
         if able:
-            place = min(able, key=lambda each: rank(each, item))
-            place.n_running += 1
-            place.n_tokens += item.n_tokens
-            place.group_keys.add(item.group_key)
-            place.has_suspected |= item.is_suspected
-            given.append((item.key, place.engine_id))
+            engine = min(able, key=lambda each: rank(each, item))
+            engine.n_running += 1
+            engine.n_tokens += item.n_tokens
+            engine.group_keys.add(item.group_key)
+            engine.has_suspected |= item.is_suspected
+            given.append((item.key, engine.engine_id))
     return given
 
 
 class SameAsOneByOne(unittest.TestCase):
     @hypothesis.settings(derandomize=True, max_examples=500, deadline=None)
     @hypothesis.given(
-        strategies.lists(ITEMS, max_size=25), strategies.lists(PLACES, max_size=10)
+        strategies.lists(ITEMS, max_size=25), strategies.lists(ENGINES, max_size=10)
     )
-    def test_any_mixture(self, item_fields, place_fields):
+    def test_any_mixture(self, item_fields, engine_fields):
         """An item gets a worse engine than the best, or none though a slot is free.
 
         The item, its group and its trainer then wait longer than necessary. Items of
         all kinds are assigned to engines that fill up.
         """
-        self.check(item_fields, place_fields)
+        self.check(item_fields, engine_fields)
 
     @hypothesis.settings(derandomize=True, max_examples=300, deadline=None)
     @hypothesis.given(
         strategies.lists(ALIKE_ITEMS, min_size=8, max_size=30),
-        strategies.lists(ALIKE_PLACES, min_size=3, max_size=6),
+        strategies.lists(ALIKE_ENGINES, min_size=3, max_size=6),
     )
-    def test_items_that_compete(self, item_fields, place_fields):
+    def test_items_that_compete(self, item_fields, engine_fields):
         """An engine that one item cannot use is lost for the items after it.
 
         Many items have the same best engine. One item skips it, because it has failed
         there or needs more memory, but it is still the best engine for the next item.
         """
-        self.check(item_fields, place_fields)
+        self.check(item_fields, engine_fields)
 
-    def check(self, item_fields, place_fields):
+    def check(self, item_fields, engine_fields):
         items = [item_of(n, **fields) for n, fields in enumerate(item_fields)]
-        places = [place_of(n, **fields) for n, fields in enumerate(place_fields)]
-        others = [place_of(n, **fields) for n, fields in enumerate(place_fields)]
-        assigned = scheduling.assign(items, places, 0.0)
+        engines = [engine_of(n, **fields) for n, fields in enumerate(engine_fields)]
+        others = [engine_of(n, **fields) for n, fields in enumerate(engine_fields)]
+        assigned = scheduling.assign(items, engines, 0.0)
         given = [(each.key, each.engine_id) for each in assigned]
         self.assertEqual(given, assigned_one_by_one(items, others))
-        self.assertEqual(places, others)
+        self.assertEqual(engines, others)
 
 
-class CountedPlace(scheduling.EngineCapacity):
+class CountedCapacity(scheduling.EngineCapacity):
     """An engine that counts each read of any attribute, over all engines."""
 
     n_reads = 0
 
     def __getattribute__(self, name):
-        CountedPlace.n_reads += 1
+        CountedCapacity.n_reads += 1
         return super().__getattribute__(name)
 
 
 class Cost(unittest.TestCase):
-    N_PLACES = 3000
+    N_ENGINES = 3000
 
     @tools.params(
         ("many free engines", {}, {}),
@@ -183,7 +183,7 @@
         ("caches are full", {"n_cache_tokens": 9, "n_tokens": 8}, {"n_tokens": 2}),
         ("all failed at the best", {}, {"excluded_ids": frozenset({"e00"})}),
     )
-    def test_many_items(self, name, place_fields, item_fields):
+    def test_many_items(self, name, engine_fields, item_fields):
         """A scheduling pass blocks the process while many items wait.
 
         One process sends all items and forwards all their events, and it does nothing
@@ -191,21 +191,21 @@
         each engine, a pass for 600 items took 1.8 s. The engines must be examined once,
         so that 600 items cost little more than 60.
         """
-        few = self.n_reads(60, place_fields, item_fields)
-        many = self.n_reads(600, place_fields, item_fields)
+        few = self.n_reads(60, engine_fields, item_fields)
+        many = self.n_reads(600, engine_fields, item_fields)
         self.assertLess(many, 2 * few, name)
 
-    def n_reads(self, n_items, place_fields, item_fields):
-        fields = {"service": "s", "n_slots": 6, "n_running": 1, **place_fields}
-        places = [
-            CountedPlace(f"e{n:02}", versions_by_model={"m": 1}, **fields)
-            for n in range(self.N_PLACES)
+    def n_reads(self, n_items, engine_fields, item_fields):
+        fields = {"service": "s", "n_slots": 6, "n_running": 1, **engine_fields}
+        engines = [
+            CountedCapacity(f"e{n:02}", versions_by_model={"m": 1}, **fields)
+            for n in range(self.N_ENGINES)
         ]
         items = []
         for n in range(n_items):
             values = {"group": n // 8, **item_fields}
             values.update(model="m", min_version=1, services=frozenset("s"))
             items.append(item_of(n, **values))
-        CountedPlace.n_reads = 0
-        scheduling.assign(items, places, 0.0)
-        return CountedPlace.n_reads
+        CountedCapacity.n_reads = 0
+        scheduling.assign(items, engines, 0.0)
+        return CountedCapacity.n_reads
--- a/tests/test_batches_item_crashes.py
+++ b/tests/test_batches_item_crashes.py
@@ -1,17 +1,18 @@
 """Unrelated items are quarantined, or crash-causing items are not.
 
-Engines crashed every second for other reasons, two fifths of them at a time. An
-unrelated item was cut off three times in its first second (the second time 0.037 s
-after it had been sent, the third time 0.12 s) and held back. Its group was never
-complete, its trainer waited for it until the step timed out, and 29 of 81 groups failed
-(none without the quarantine of items). A dozen items run at an engine, so a crash says
-little about each of them. A crash-causing item differs in that engines crash where it
-runs, and not elsewhere.
+Engines crash every second for other reasons, two fifths of them at a time. An unrelated
+item is cut off three times in its first second (in one run, the second time 0.037 s
+after it had been sent, the third time 0.12 s). If it is held back for that, its group
+is never complete, and its trainer waits for it until the step times out: 29 of 81
+groups failed (none without the quarantine of items). A dozen items run at an engine, so
+a crash says little about each of them. A crash-causing item differs in that engines
+crash where it runs, and not elsewhere.
 
 The crashes of several crash-causing items that run together are attributed to one
-another at each quarantine. With seven of them, the `crashes:run-broken` lines of one
-item named eight engines one after the other, and the item was still only suspected: its
-crashes had been attributed to others twice, and its count had started from zero.
+another at each quarantine. If the count of an item then starts from zero, the item is
+never quarantined: with seven such items, the `crashes:run-broken` lines of one named
+eight engines one after the other, its crashes had been attributed to others twice, and
+it was still only suspected.
 """
 
 import unittest
--- a/tests/test_batches_load_limit.py
+++ b/tests/test_batches_load_limit.py
@@ -82,8 +82,8 @@
         ("slow for another reason", [(0.9, 1), (2.0, 2)], 10),
         ("never below two", [(0.9, 1)] + [(9.0, 3)] * 9, 2),
     )
-    def test_notes(self, name, notes, expected):
+    def test_record_load(self, name, recorded, expected):
         limit = load_limit.LoadLimit()
-        for seconds, n_concurrent in notes:
+        for seconds, n_concurrent in recorded:
             limit.record_load(seconds, n_concurrent, 24)
         self.assertEqual(limit.max_loading(24), expected, name)
--- a/tests/test_batches_scheduling_pass.py
+++ b/tests/test_batches_scheduling_pass.py
@@ -91,8 +91,8 @@
     def test_versions_are_gathered_once(self):
         """Guard against a pass that visits all engines for each waiting item.
 
-        With 600 items that each need a single version, and 3,000 engines, the versions
-        of all engines were collected once per item, which took 0.2 s per pass.
+        If the versions of all engines are collected once per item, this takes 0.2 s per
+        pass with 600 items that each need a single version, and 3,000 engines.
         """
         original = engines.Engines.versions_of
         asked = []
@@ -112,9 +112,9 @@
     def test_registry_is_gone_through_once(self):
         """Guard against a pass that iterates over an unchanged registry.
 
-        A pass with nothing to do took 20 to 40 ms with 3,000 engines. Each item and
-        each load that ends causes a pass, a hundred times a second, and each pass
-        iterated over the registry, which changes less often.
+        Each item and each load that ends causes a pass, a hundred times a second. The
+        registry changes less often. If each pass iterates over it, a pass with nothing
+        to do takes 20 to 40 ms with 3,000 engines.
         """
         self.run_pass()
         counted.CountedTuple.n_passes = 0
@@ -139,7 +139,7 @@
         self.assertEqual(sent_to, {"e50"})
 
     @tools.params(("earlier", 1, 2), ("the same", 2, 2), ("later", 3, 3))
-    def test_announced_version_stands(self, name, answered, expected):
+    def test_announced_version_is_kept(self, name, answered, expected):
         """Guard against an announced version that is lost to an older answer.
 
         An engine that has announced version 2 answers under another version. Within one
@@ -179,9 +179,9 @@
     def test_time_for_others(self, name, pass_seconds, least, most, share):
         """Guard against passes that leave no time for the other tasks.
 
-        A pass was due 10 ms after the last one, however long that had taken. With 3,000
-        engines a pass takes 60 ms, so the process had a seventh of its time left to
-        read the events of all items and to commit their results. At full load it served
+        With 3,000 engines a pass takes 60 ms. If the next one is due 10 ms after it,
+        however long it has taken, the process has a seventh of its time left to read
+        the events of all items and to commit their results. At full load it then serves
         almost nothing.
         """
         passes = []
@@ -215,9 +215,9 @@
     def test_nothing_waits(self):
         """Guard against many calls per engine in a pass with nothing to do.
 
-        Such a pass took 20 ms with 3,000 engines. It made some fifteen calls for each
-        engine, one of them for the median of all other engines' paces, and copied each
-        engine for the plan of loads.
+        If a pass makes some fifteen calls for each engine, one of them for the median
+        of all other engines' paces, and copies each engine for the plan of loads, it
+        takes 20 ms with 3,000 engines.
         """
         for run in self.runner._work.open_batches()[0].runs_by_item_id.values():
             run.finish()
--- a/tests/test_batches_scoring.py
+++ b/tests/test_batches_scoring.py
@@ -247,7 +247,7 @@
         ("slots not reported", (0,), 1),
         ("no upstreams", (), 0),
     )
-    def test_places(self, name, slots, expected):
+    def test_max_concurrent(self, name, slots, expected):
         self.assertEqual(scoring.max_concurrent(slots), expected, name)
 
 
--- a/tests/test_batches_service.py
+++ b/tests/test_batches_service.py
@@ -149,8 +149,8 @@
         """Guard against a leader that runs no items any more.
 
         The lease expires for a moment, and cancelling the runner's attempts fails with
-        `KeyError`. The runner, whose loop had ended, was kept and stopped again at each
-        check of the leadership, with ten tracebacks a second.
+        `KeyError`. If the runner, whose loop has ended, is kept, it is stopped again at
+        each check of the leadership, with ten tracebacks a second.
         """
         self.runners[0].fault = KeyError("an attempt that has just ended")
         self.replica.n_missing_leases = 1
@@ -187,8 +187,8 @@
 
         A complete text and its score are queued while the log is slow. The lease
         expires and is regained in the same term, and the new runner generates the text
-        again. All three updates were merged into one command, which applies texts
-        before scores, so the second text got the score of the first.
+        again. If all three updates are merged into one command, which applies texts
+        before scores, the second text gets the score of the first.
         """
 
         def begin_another(command):
@@ -211,9 +211,9 @@
     def test_commit_that_fails(self):
         """Guard against a healthy leader that lists no results any more.
 
-        An unexpected error during the commit of one result ended the task that commits
-        all of them. The runner continued and treated its items as finished, and its
-        updates were not committed until another process became the leader.
+        The commit of one result fails with an unexpected error. If that ends the task
+        that commits all of them, the runner continues and treats its items as finished,
+        but its updates are not committed until another process becomes the leader.
         """
 
         def fail(command):
@@ -251,10 +251,10 @@
     def test_commit_that_is_refused_at_once(self):
         """Guard against retries that block all other tasks of the leader.
 
-        A group with a full queue refuses proposals immediately. The task that commits
-        results retried without a pause for as long as its process led. No other task
-        could run, neither those that answer gateways nor the one that detects the
-        expiry of the lease, so no other replica could become the leader.
+        A group with a full queue refuses proposals immediately. If the task that
+        commits results retries without a pause for as long as its process leads, no
+        other task can run, neither those that answer gateways nor the one that detects
+        the expiry of the lease, so no other replica can become the leader.
         """
         refusal = result.Err(client.StateError(reasons.Reason.STATE_UNAVAILABLE, False))
         n_refused = []
@@ -302,9 +302,9 @@
     def test_submission_that_is_not_committed_here(self, name, may_have_applied):
         """Guard against a batch that runs although its submission was refused.
 
-        The batch is in the log, but this replica does not see its commit. It answered
-        that it cannot accept the batch, as if the batch were not in the log, and the
-        gateway refused the batch with the promise that it never runs.
+        The batch is in the log, but this replica does not see its commit. If it answers
+        that it cannot accept the batch, as if the batch were not in the log, the
+        gateway refuses the batch with the promise that it never runs.
         """
         self.replica.intervene = lambda command: result.Err(
             client.StateError(reasons.Reason.STATE_UNAVAILABLE, may_have_applied)
--- a/tests/test_batches_slow_engines.py
+++ b/tests/test_batches_slow_engines.py
@@ -17,7 +17,7 @@
 from tests import batches_support
 
 waiting = batches_support.waiting
-place = batches_support.place
+make_engine = batches_support.make_engine
 
 
 class SlowEngine(unittest.TestCase):
@@ -111,8 +111,11 @@
         another engine.
         """
         items = [waiting(each, is_on_slow_engine=True) for each in ("x", "y", "z")]
-        places = [place("slow", 9, is_slow=True), place("e2", 4, n_running=2)]
-        moved = [each.engine_id for each in scheduling.assign(items, places, 0.0)]
+        capacities = [
+            make_engine("slow", 9, is_slow=True),
+            make_engine("e2", 4, n_running=2),
+        ]
+        moved = [each.engine_id for each in scheduling.assign(items, capacities, 0.0)]
         self.assertEqual(moved, ["e2", "e2"])
 
     @tools.params(
@@ -132,8 +135,11 @@
             waiting("slow", start_by=slow, is_on_slow_engine=True),
             waiting("waits", start_by=waits),
         ]
-        places = [place("slow", 6, is_slow=True, n_running=6), place("e2", 1)]
-        given = scheduling.assign(items, places, 0.0)
+        capacities = [
+            make_engine("slow", 6, is_slow=True, n_running=6),
+            make_engine("e2", 1),
+        ]
+        given = scheduling.assign(items, capacities, 0.0)
         self.assertEqual([each.key[1] for each in given], [first], name)
 
     def test_failed_engine_is_excluded_for_a_limited_time(self):
--- a/tests/test_batches_stop.py
+++ b/tests/test_batches_stop.py
@@ -12,9 +12,8 @@
 
         The store has lost the leadership, and a task cancels the runner's attempts.
         Each cancellation yields to other tasks. Then the process stops, which kills
-        that task and stops the runner again. The second stop failed with `ValueError`
-        on removing the watcher twice, so that neither the other attempts nor the
-        replica stopped.
+        that task and stops the runner again. If the second stop fails with `ValueError`
+        on removing the watcher twice, neither the other attempts nor the replica stop.
         """
         self.begin(4)
         watchers = [self.runner.wake]
--- a/tests/test_batches_texts.py
+++ b/tests/test_batches_texts.py
@@ -37,8 +37,8 @@
     def test_begins_late(self, number):
         """Guard against a stream that lacks its beginning and is read as complete.
 
-        A stream that is not resumed after an event begins with event 1. The reader
-        accepted any number for the first event.
+        A stream that is not resumed after an event begins with event 1. If the reader
+        accepts any number for the first event, the missing ones go unnoticed.
         """
         reader = event_stream.EventReader("X-V")
         with self.assertRaises(event_stream.EventError):
--- a/tests/test_batches_urgency.py
+++ b/tests/test_batches_urgency.py
@@ -104,8 +104,8 @@
     """A step is late after a power failure, and the trainer's next one is submitted.
 
     The trainer submits the step after the next only when it has finished the late one.
-    When the late step went after its successor, it delayed the trainer by another five
-    seconds, and the last step of the played day was never submitted.
+    If the late step went after its successor, it would delay the trainer by another
+    five seconds, and the last step of the simulated day would never be submitted.
     """
 
     @tools.params(
--- a/tests/test_cli_client.py
+++ b/tests/test_cli_client.py
@@ -1,4 +1,4 @@
-"""The tool tries another gateway when one is dead, frozen or busy."""
+"""The tool tries another gateway when one is down, suspended or busy."""
 
 import json
 import unittest
@@ -31,7 +31,7 @@
         ],
     ),
     (
-        "a round of dead gateways is followed by a pause that grows",
+        "a round of gateways that are down is followed by a pause that grows",
         (A, B),
         100.0,
         [
--- a/tests/test_cli_process.py
+++ b/tests/test_cli_process.py
@@ -91,10 +91,10 @@
             out, err = process.communicate()
         return process.returncode, json.loads(out), err
 
-    def test_a_bundle_is_rolled_past_a_dead_gateway_and_a_lost_answer(self):
-        """Each step succeeds although a gateway is dead and an answer is lost.
+    def test_a_bundle_is_rolled_past_an_unavailable_gateway_and_a_lost_answer(self):
+        """Each step succeeds although a gateway is down and an answer is lost.
 
-        The first gateway is dead. The submission is committed, but its answer is lost,
+        The first gateway is down. The submission is committed, but its answer is lost,
         so the second gateway reports that the outcome is unknown. The tool sends the
         submission again, which is safe because a bundle is identified by its digest.
         """
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -294,10 +294,10 @@
         self.wait_for(lambda: self.is_known(self.apps))
         for number in range(6):
             gateway_ = self.gateways[number % len(self.gateways)]
-            asked = eventlet.spawn(self.send, gateway_, "/look-ups/x", SLOW)
+            answer_task = eventlet.spawn(self.send, gateway_, "/look-ups/x", SLOW)
             index = self.wait_for(self.apps.busy_index)
             self.apps.crash(index)
-            self.assertEqual(asked.wait().status, 200)
+            self.assertEqual(answer_task.wait().status, 200)
             self.wait_for(lambda: self.is_known(self.apps))
         self.wait_for(lambda: all(e.view.crashes.is_empty() for e in self.gateways))
 
@@ -309,12 +309,12 @@
         answered, and clears the look-up.
         """
         self.wait_for(lambda: self.is_known(self.apps))
-        asked = eventlet.spawn(self.send, self.gateways[0], "/look-ups/x", SLOW)
+        answer_task = eventlet.spawn(self.send, self.gateways[0], "/look-ups/x", SLOW)
         for _ in range(2):
             index = self.wait_for(self.apps.busy_index)
             clock.sleep(2 * quarantine.CONCURRENT_SECONDS)
             self.apps.crash(index)
-        self.assertTrue(asked.wait().may_have_run)
+        self.assertTrue(answer_task.wait().may_have_run)
         view = self.gateways[1].view
         self.wait_for(lambda: not view.crashes.is_empty())
         refused = self.send(self.gateways[1], "/look-ups/x", SLOW)
--- a/tests/test_http_refusals.py
+++ b/tests/test_http_refusals.py
@@ -43,7 +43,7 @@
         The call must not be sent under the bundle under which it was admitted: the
         operator has seen that the new bundle is in force everywhere.
         """
-        taker = self.occupy_service()
+        first_call = self.occupy_service()
         for key in ("", "waiter"):
             headers = {"Idempotency_Key": key} if key else {}
             waiting = self.first.send("GET", "/apps/schedule/x", **headers)
@@ -53,15 +53,15 @@
                 self.done.send(None)
             answer = waiting.wait()
             self.assertEqual((answer.reason, answer.outcome), (reason, "not-run"))
-            taker.wait()
+            first_call.wait()
             self.assertEqual(self.n_bookings, 1)
             self.first.bundles.bundle = result.Ok(gateway_parts.BUNDLE)
             self.done = eventlet.event.Event()
-            taker = self.first.send("GET", "/apps/schedule/taker")
+            first_call = self.first.send("GET", "/apps/schedule/taker")
             wsgi.run_until(lambda: self.n_bookings == 2)
             self.application.received.pop()
         self.done.send(None)
-        taker.wait()
+        first_call.wait()
 
     def test_full_queue_makes_no_claims_and_still_replays_results(self):
         """The queue is full, and callers retry at once.
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -73,7 +73,7 @@
     def setUp(self):
         self.history = history_of(("a", 0.0), ("b", 1.0), ("c", 2.0))
 
-    def test_lapses(self):
+    def test_expires(self):
         now = 2.0
         for number in range(12):
             seconds = min(self.FIRST * 2**number, quarantine.LONGEST_SECONDS)
@@ -104,9 +104,9 @@
     """Several crash-causing requests run concurrently and cut off one another.
 
     Guards against requests that crash upstreams for minutes without being quarantined.
-    Each quarantine attributed the crashes of the others to the quarantined request.
-    With eight such requests at a service of three upstreams, one was cut off by 15
-    crashes.
+    Each quarantine attributes the crashes of the others to the quarantined request. If
+    these did not count at all, requests could run on: with eight such requests at a
+    service of three upstreams, one was cut off by 15 crashes.
     """
 
     @tools.params(
@@ -172,8 +172,8 @@
 
         The history is full of unrelated items that were cut off twice with a culprit
         and never answered; all their crashes are attributed to others. The item's first
-        crash gives it fewer crashes than any of these, so its history was dropped each
-        time.
+        crash gives it fewer crashes than any of these. If attributed crashes counted
+        alike, its history would be dropped each time.
         """
         history = quarantine.CrashHistory(is_crowded=True)
         for step in range(quarantine.MAX_REQUESTS // 16):
@@ -241,9 +241,9 @@
     def test_is_clear(self, name, is_crowded, order):
         """An unrelated request is refused, or an unrelated item waits, for minutes.
 
-        All requests at an upstream are cut off at once and recorded in any order. For
-        requests recorded after the culprit, the crash that had the culprit quarantined
-        stayed unattributed, and three of these had the request quarantined as well.
+        All requests at an upstream are cut off at once and recorded in any order. If
+        the crash that has the culprit quarantined stays unattributed for requests that
+        are recorded after the culprit, three of these have the request quarantined too.
         """
         history = quarantine.CrashHistory(is_crowded=is_crowded)
         for step, culprit in enumerate("ghk"):
@@ -256,7 +256,7 @@
             self.assertIs(history.standing("f"), CLEAR, (name, step))
 
 
-class BesideManyGuilty(unittest.TestCase):
+class ManyCulprits(unittest.TestCase):
     """A request that was cut off six times by three crash-causing requests."""
 
     # Upstreams, when they crashed, and what they ran: "f" is the unrelated request.
--- a/tests/test_quarantine_reports.py
+++ b/tests/test_quarantine_reports.py
@@ -124,8 +124,8 @@
         """A request that was answered is suspected again.
 
         A report is committed, but its acknowledgement is lost with the leader. The
-        request is answered through another gateway and cleared. The report was then
-        resent to the leader of a later term, and counted again after the answer.
+        request is answered through another gateway and cleared. If the report, resent
+        to the leader of a later term, counts again, it counts after the answer.
         """
         self.report("a", 10.0)
         self.report("b", 10.1)
@@ -204,8 +204,8 @@
         """A request is sent to one more upstream than its crash history allows.
 
         The second crash of the request is recorded while the first is being reported.
-        The acknowledgement of the first removed both from the sender's own history, and
-        the second counted nowhere until the next report.
+        If the acknowledgement of the first removes both from the sender's own history,
+        the second counts nowhere until the next report.
         """
         view = View()
         calls = Calls(view)
@@ -246,8 +246,8 @@
         """A request that was answered after its crash is still suspected.
 
         The crash is in transit to the group, or stored there, when the request is
-        answered. The sender's copy of the history does not contain it yet, so the
-        answer was not reported, and the earlier crash counted for ten minutes more.
+        answered. The sender's copy of the history does not contain it yet. If the
+        answer is not reported then, the earlier crash counts for ten minutes more.
         """
         view = View()
         calls = Calls(view, None if is_meanwhile else quarantine.CrashHistory())
--- a/tests/test_relay_hedging.py
+++ b/tests/test_relay_hedging.py
@@ -23,8 +23,8 @@
     """An upstream accepts the request and hangs.
 
     Without hedging, the caller waits until that attempt times out, after twice the
-    target latency or more. So a second upstream is asked meanwhile, if the request may
-    run more than once.
+    target latency or more. So the request is sent to a second upstream as well, if
+    it may run more than once.
     """
 
     TARGET = 0.4
@@ -66,8 +66,8 @@
     def test_either_answers(self, name, first, script, second, other, expected):
         """The request is hedged, and its upstreams answer or fail in different orders.
 
-        No third upstream is asked. The refusal says "not run" only if both upstreams
-        have stated that they did not run the request.
+        It is sent to no third upstream. The refusal says "not run" only if both
+        upstreams have stated that they did not run the request.
         """
         given, _ = self.ask(
             self.relay(self.slow(first, script), self.slow(second, other))
--- a/tests/test_relay_streams.py
+++ b/tests/test_relay_streams.py
@@ -178,7 +178,7 @@
         given = self.stream((self.CUT, framed(framing)), True)
         self.assertEqual(given, ([1, 2], outcome))
 
-    def test_another_engine_is_asked_after_an_answer_that_ends_with_its_connection(
+    def test_another_engine_is_tried_after_an_answer_that_ends_with_its_connection(
         self,
     ):
         asked_after = []
--- a/tests/test_requests_admission.py
+++ b/tests/test_requests_admission.py
@@ -75,7 +75,7 @@
     def test_memory_does_not_grow_with_calls_that_come_and_go(self):
         """Entries of withdrawn calls must not accumulate while no call is granted.
 
-        Callers hang up and retry while all upstreams are full, so no entry is ever
+        Callers disconnect and retry while all upstreams are full, so no entry is ever
         taken from the top of a heap.
         """
         queue = admission.Admission(64, random.Random(1))
--- a/tests/test_requests_attempts.py
+++ b/tests/test_requests_attempts.py
@@ -152,7 +152,7 @@
     def test_timeout_before_the_first_byte_is_known_not_to_have_run(self):
         """The deadline passes while the connection is established.
 
-        No byte of the request was sent, so the caller must be told that it did not run.
+        No byte of the request was sent, so the caller must learn that it did not run.
         """
         fake = self.upstream(scripted.serve(scripted.answer))
         with (
--- a/tests/test_requests_claims.py
+++ b/tests/test_requests_claims.py
@@ -182,7 +182,7 @@
             self.assertEqual(found.outcome, claims_state.CLAIM_EXPIRED)
 
     @tools.params(("into the running group", True), ("after the group was lost", False))
-    def test_key_claimed_after_the_back_up_does_not_run_again(self, name, has_current):
+    def test_key_claimed_after_the_backup_does_not_run_again(self, name, has_current):
         """A restored backup must not let requests run that it does not know.
 
         A key was claimed after the backup was made, so the backup does not contain it.
--- a/tests/test_requests_kept_connections.py
+++ b/tests/test_requests_kept_connections.py
@@ -28,11 +28,11 @@
     def test_idle_connections_to_unused_upstreams_expire(self):
         """A store keeps more idle connections than it may have descriptors.
 
-        With 300 engines it had 1,172, four for each engine. Idle connections were
-        checked only when one to the same upstream was taken, and the one kept last is
-        taken first. The others, and all to an engine without work, stayed open: up to
-        one for each run slot of each engine. With 3,000 engines these are more than the
-        process's limit of descriptors.
+        The connection kept last is taken first. If idle connections are checked only
+        when one to the same upstream is taken, the others, and all to an engine without
+        work, stay open: up to one for each run slot of each engine (1,172 with 300
+        engines, four for each). With 3,000 engines these are more than the process's
+        limit of descriptors.
         """
         kept = [self.keep(f"10.0.0.{n}:80") for n in range(100) for _ in range(3)]
         self.clock.advance(connections.MAX_IDLE_SECONDS + 0.1)
--- a/tests/test_requests_resets.py
+++ b/tests/test_requests_resets.py
@@ -1,10 +1,10 @@
 """Tests of answers without a length or chunks, which end with their connection.
 
 Such an answer is complete if the connection is closed in order, and truncated if it is
-reset. Callers once got truncated answers to look-ups as complete ones, and half a text
-was stored as the complete text of an item: `outcome` completed with `framing` close,
-although the upstream's run had broken off and its connection had been reset. eventlet's
-own sockets report a reset as the end of the data, so the difference went unnoticed.
+reset. eventlet's own sockets report a reset as the end of the data. If the difference
+goes unnoticed, callers get truncated answers to look-ups as complete ones, and half a
+text is stored as the complete text of an item: `outcome` completed with `framing`
+close, although the upstream's run broke off and its connection was reset.
 """
 
 import socket
--- a/tests/test_requests_schedules.py
+++ b/tests/test_requests_schedules.py
@@ -83,7 +83,7 @@
         for gateway in self.gateways:
             gateway.state.resume()
 
-    def hang_up(self):
+    def disconnect_caller(self):
         if self.pending:
             self.pending.pop(self.rng.randrange(len(self.pending))).disconnect()
 
@@ -104,7 +104,7 @@
         steps = [self.book] * 5 + [
             self.suspend_gateway,
             self.resume_gateways,
-            self.hang_up,
+            self.disconnect_caller,
             self.lose_majority,
             self.move_service,
             self.pass_time,
@@ -158,7 +158,7 @@
         """A booking must not run twice, nor be reported as not run if it was sent.
 
         Gateways are suspended and resumed at any step of a booking, and callers retry
-        at all of them. Majorities are lost, the service fails, callers hang up, time
+        at all of them. Majorities are lost, the service fails, callers disconnect, time
         passes. The request of a key is sent at most once, and never after a caller
         received "unknown" for it. An answer "not-run" is given only if the request was
         not sent before.
--- a/tests/test_requests_streams.py
+++ b/tests/test_requests_streams.py
@@ -246,7 +246,7 @@
         self.assertEqual(self.dispatcher.n_in_flight, 0)
         self.assertIsInstance(list(self.dispatcher.stream(call()))[-1], model.Finished)
 
-    def test_waiting_call_of_a_client_that_hangs_up_is_refused_at_once(self):
+    def test_waiting_call_of_a_client_that_disconnects_is_refused_at_once(self):
         self.engine("e1", lambda c, r: eventlet.sleep(30), max_concurrency=1)
         first = eventlet.spawn(list, self.dispatcher.stream(call()))
         eventlet.sleep(0.02)
--- a/tests/test_samples_delivery.py
+++ b/tests/test_samples_delivery.py
@@ -235,7 +235,7 @@
         ages = {each.staleness for each in delivered.batch.samples}
         self.assertEqual(ages, {staleness})
 
-    def test_gateway_is_frozen_after_the_last_check(self) -> None:
+    def test_gateway_is_suspended_after_the_last_check(self) -> None:
         """A gateway is suspended after the last check of a batch.
 
         Samples of the batch may have become too stale when it continues, so the check
@@ -274,7 +274,7 @@
 
 
 class Owners(SiteTestCase):
-    """The owner of a group crashes or freezes; another gateway continues the group."""
+    """The owner of a group crashes or is suspended; another gateway continues."""
 
     script = [support.tokens(1), 0.2, support.tokens(2), support.finished()]
 
@@ -369,7 +369,7 @@
 
 
 class Stop(unittest.TestCase):
-    """A gateway is stopped while its attempts run."""
+    """A gateway is shut down while its attempts run."""
 
     def test_interrupted_stop_can_be_repeated(self) -> None:
         """A stop is interrupted while attempts run, and `stop` is called again.
