--- a/bilberrydrum/batches/scheduling.py
+++ b/bilberrydrum/batches/scheduling.py
@@ -12,9 +12,9 @@
 Items that run at slow engines are scheduled together with the waiting ones. A text is
 resumed where it stopped, so a move costs one reading of the prompt, while one slow
 engine delays every group that has an item on it. These items are ordered by their
-remaining time like all others. When they were moved only to capacity for which no item
-waited, they stayed where they were while two fifths of the engines were slow: an item
-of 89 events took 9.8 s, and its trainer lost two steps.
+remaining time like all others. If they were moved only to capacity for which no item
+waits, they would stay where they are while two fifths of the engines are slow: an item
+of 89 events then took 9.8 s, and its trainer lost two steps.
 """
 
 from collections.abc import Callable, Hashable, Mapping, Sequence
@@ -210,7 +210,7 @@
 ) -> set[tuple[str, str]]:
     """Return the items that go after those of other accounts.
 
-    Answers the load in which one account submits many times what can be served. Its
+    This handles a load in which one account submits many times what can be served. Its
     oldest items are always the most urgent, and the items of all other accounts would
     wait for them until they are late as well. So an account that has items which can no
     longer be on time keeps its normal order for an equal share of the run slots only,
--- a/tests/relay_support.py
+++ b/tests/relay_support.py
@@ -103,18 +103,20 @@
             server = scripted.Scripted(script, kind=upstream_model.KIND_APPLICATION)
             self.addCleanup(server.stop)
             self.servers.append(server)
-        # Between idle upstreams the zone decides, so the first one is asked first.
+        # Between idle upstreams the zone decides, so the first one is tried first.
         zones = ["near", *["far"] * (len(scripts) - 1)]
         upstreams = [
             fleet_model.FleetUpstream(f"u{n}", "s", server.address, zones[n], 6)
             for n, server in enumerate(self.servers)
         ]
         self.view = View(upstreams)
-        means = attempts.Means(connections.ConnectionPool(), watch.ClientWatch())
+        resources = attempts.Resources(
+            connections.ConnectionPool(), watch.ClientWatch()
+        )
         rng = random.Random(1)
         balancer = balancing.Balancer("near", rng)
         crashes = crash_watch.CrashWatch(self.view, None)
-        parts = (Protocol(), self.view, means, balancer, rng, crashes)
+        parts = (Protocol(), self.view, resources, balancer, rng, crashes)
         self.streams = streams.StreamRelay(*parts)
         return relay.Relay(*parts, hedges=hedging.Hedging())
 
