--- a/misc/demos/__init__.py
+++ b/misc/demos/__init__.py
@@ -1,1 +1,1 @@
-"""The demonstration of the whole path, and what it measures."""
+"""The demo: a complete deployment on one machine, its checks and its figures."""
--- a/misc/demos/andes.py
+++ b/misc/demos/andes.py
@@ -1,6 +1,6 @@
-"""The Andes deployment on one machine: three daemons and the world around them.
+"""The Andes deployment on one machine: daemons, upstreams and clients.
 
-Every process listens on a free loopback port; files are kept in one folder.
+Every process listens on a free loopback port; all files are in one folder.
 """
 
 import json
@@ -22,13 +22,13 @@
 SECOND_TRAINER: Final = "drill"
 CALLER: Final = "planners"
 STALENESS_BOUND: Final = 2
-TOOL_SECONDS: Final = 90.0
+TOOL_TIMEOUT_SECONDS: Final = 90.0
 
 
 class ToolError(Exception):
-    """The operators' tool ended with an error.
+    """The operators' command-line tool exited with an error.
 
-    `code` is its exit code and `output` what it wrote to standard output.
+    `code` is its exit code and `output` its standard output.
     """
 
     def __init__(
@@ -50,19 +50,20 @@
 
 
 @attrs.frozen
-class Rolled:
-    """A bundle that was put in force."""
+class RolledBundle:
+    """A bundle that was rolled and is in force."""
 
     version: int
     digest: str
-    # Times of `time.monotonic` at which the roll was asked for and reported done.
-    asked: float
-    reported: float
+    # Times of `time.monotonic` before the roll was requested and after the tool
+    # reported the bundle in force.
+    requested_at: float
+    reported_at: float
 
 
 @attrs.frozen
 class Sizes:
-    """How many upstreams of each kind there are."""
+    """Number of upstreams of each kind."""
 
     n_engines: int = 5
     n_schedules: int = 3
@@ -70,14 +71,14 @@
 
 
 class Deployment:
-    """The processes of Andes.
+    """The processes of the Andes deployment.
 
     Parameters
     ----------
     started : processes.Processes
-        Where the processes are started, and ended by its owner.
+        Starts the processes; its owner stops them.
     sizes : Sizes, optional
-        How many upstreams there are.
+        Number of upstreams of each kind.
     """
 
     def __init__(
@@ -179,10 +180,10 @@
         processes.wait_for(lambda: self.leader() != "", 60.0, "a leader")
 
     def leader(self) -> str:
-        """Return the process id of the state group's leader; empty: none is known.
+        """Return the process id of the state group's leader; empty if none is known.
 
-        A replica that has not heard of a newer leader may still name the old one, so
-        the answer with the highest term counts.
+        A replica that a new leader has not contacted yet may still report the old one,
+        so the answer with the highest term is used.
         """
         best = (-1, "")
         for process_id in self.daemons_by_id:
@@ -192,14 +193,16 @@
         return best[1]
 
     def state_status(self, process_id: str) -> dict[str, Any] | None:
-        """Return what one daemon tells of the state group; None: no answer."""
-        answer = self.ask(process_id, "GET", "/v1/state", self.operator_headers())
+        """Return a daemon's report on the state group; None if it does not answer."""
+        answer = self.send_request(
+            process_id, "GET", "/v1/state", self.operator_headers()
+        )
         if answer is None or answer.status != 200:
             return None
         value: dict[str, Any] = answer.json()
         return value
 
-    def ask(
+    def send_request(
         self,
         process_id: str,
         method: str,
@@ -208,7 +211,7 @@
         value: Any = None,
         timeout: float = 1.0,
     ) -> urllib3.BaseHTTPResponse | None:
-        """Ask one daemon; None if it does not answer."""
+        """Send a request to one daemon; return None if it does not answer."""
         address = self.daemons_by_id[process_id].http_address
         try:
             return urllib3.request(
@@ -226,7 +229,7 @@
         token = pathlib.Path(self.operator_token).read_text().strip()
         return {"Authorization": f"Bearer {token}", "X-Operator": OPERATOR}
 
-    # The world around.
+    # Upstreams and clients.
 
     def _gateway_options(self) -> list[str]:
         return [
@@ -251,7 +254,7 @@
             kind = name.split("-")[0]
             options: list[str] = []
             if kind == "engine":
-                # Some engines look at fencing numbers and some do not.
+                # Only every other engine checks fencing numbers.
                 options = ["--checks-fencing"] if number % 2 == 0 else []
                 options += ["--seed", str(number), *engine_options]
             self.processes.start_module(
@@ -271,7 +274,7 @@
             )
 
     def start_trainer(self, *options: str) -> processes.Process:
-        """Start the trainer; it ends by itself and writes ``trainer.report``."""
+        """Start the trainer, which writes ``trainer.report`` and exits by itself."""
         return self.processes.start_module(
             "trainer",
             "tests.fakes.trainer",
@@ -287,7 +290,7 @@
         )
 
     def start_planner(self, *options: str) -> processes.Process:
-        """Start the planners; they write ``planner.report`` when told to end."""
+        """Start the planners, which write ``planner.report`` on SIGTERM."""
         return self.processes.start_module(
             "planner",
             "tests.fakes.planner",
@@ -303,7 +306,7 @@
         )
 
     def control(self, upstream: str, **faults: float) -> dict[str, Any]:
-        """Switch faults of a stand-in on or off; return what it reports."""
+        """Switch faults of a fake upstream on or off; return its report."""
         answer = urllib3.request(
             "POST",
             f"http://{self.addresses_by_upstream[upstream]}/control",
@@ -312,19 +315,19 @@
             retries=False,
         )
         if answer.status != 200:
-            raise ValueError(f"{upstream}: {answer.data!r}")
+            raise ValueError(f"{upstream} refused the faults: {answer.data!r}")
         value: dict[str, Any] = answer.json()
         return value
 
-    # The operator.
+    # Operator.
 
     def tool(self, *words: str, operator: str = OPERATOR) -> dict[str, Any]:
-        """Run the operators' tool; return its answer.
+        """Run the operators' command-line tool; return its JSON output.
 
         Raises
         ------
         ToolError
-            If it ends with an exit code other than 0.
+            If the exit code is not 0.
         """
         gateways = [
             word if word.startswith("--") else f"http://{word}"
@@ -341,7 +344,7 @@
             "json",
             *words,
         )
-        code, output, errors = processes.run_tool(arguments, TOOL_SECONDS)
+        code, output, errors = processes.run_tool(arguments, TOOL_TIMEOUT_SECONDS)
         if code != 0:
             raise ToolError(words, code, output, errors)
         value: dict[str, Any] = json.loads(output) if output.strip() else {}
@@ -350,7 +353,7 @@
     def write_bundle(
         self, version: int, callers: list[str], folder: pathlib.Path | None = None
     ) -> pathlib.Path:
-        """Write a bundle that lets some callers use the schedule application."""
+        """Write a bundle that permits `callers` to use the schedule application."""
         bundle = {
             "version": version,
             "parent": version - 1,
@@ -376,15 +379,15 @@
         path.write_text(yaml.safe_dump(bundle, sort_keys=False))
         return path
 
-    def roll(self, path: pathlib.Path, version: int) -> Rolled:
+    def roll(self, path: pathlib.Path, version: int) -> RolledBundle:
         """Check, submit, sign off and roll a bundle; wait until it is in force."""
         self.tool("bundle", "check", str(path))
         digest = self.tool("bundle", "submit", str(path))["digest"]
-        signed = ("bundle", "sign-off", str(version), "--digest", digest)
-        self.tool(*signed)
-        asked = time.monotonic()
+        sign_off_command = ("bundle", "sign-off", str(version), "--digest", digest)
+        self.tool(*sign_off_command)
+        requested_at = time.monotonic()
         self.tool("bundle", "roll", str(version), "--digest", digest, "--wait")
-        return Rolled(version, digest, asked, time.monotonic())
+        return RolledBundle(version, digest, requested_at, time.monotonic())
 
 
 def _upstream_names(sizes: Sizes) -> tuple[list[str], list[str], list[str]]:
--- a/misc/demos/demo_run.py
+++ b/misc/demos/demo_run.py
@@ -1,9 +1,9 @@
 """The demo: a rollout on one machine, with or without faults.
 
 Three daemons, five engines, three schedule applications, scorers, a weight store, a
-trainer and some planners run as processes of their own. An operator rolls bundles. The
-figures at the end come from what the trainer, the planners, the applications and the
-probe saw.
+trainer and some planners run as separate processes. An operator rolls bundles. The
+figures at the end are computed from the reports and journals of the trainer, the
+planners and the applications, and from the observations of the probe.
 """
 
 import argparse
@@ -23,11 +23,11 @@
 from tests.fakes import journal
 
 READY_SECONDS: Final = 60.0
-# Longest time without a step of the trainer.
-STEP_SECONDS: Final = 60.0
+# The run fails if the trainer takes longer than this for a step.
+STEP_TIMEOUT_SECONDS: Final = 60.0
 FREEZE_SECONDS: Final = 6.0
 CRASH_TOKENS: Final = 40
-PLANNER_SECONDS: Final = 40.0
+PLANNER_STOP_SECONDS: Final = 40.0
 ENGINE_OPTIONS: Final = ("--step-seconds", "0.02")
 
 
@@ -39,15 +39,15 @@
         self._has_faults = has_faults
         self._deployment = andes.Deployment(started)
         self._probe = probe.Probe(self._deployment)
-        self._rolled: list[tuple[andes.Rolled, list[str]]] = []
+        self._rolled: list[tuple[andes.RolledBundle, list[str]]] = []
         self._trainer: processes.Process | None = None
         self._gateways = list(self._deployment.daemons_by_id)
 
     def run(self) -> tuple[dict[str, Any], dict[str, Any], list[str]]:
-        """Run it; return the figures, the details, and what did not hold."""
+        """Run the demo; return the figures, the details and the violated conditions."""
         deployment = self._deployment
         deployment.start_daemons()
-        _say("daemons are up, upstreams start")
+        _print_progress("daemons are ready, starting upstreams")
         deployment.start_upstreams(*ENGINE_OPTIONS)
         self._roll(1, self._gateways)
         self._start_clients()
@@ -60,7 +60,7 @@
         return self._result()
 
     def _plan(self) -> list[tuple[int, Callable[[], None]]]:
-        """Return what happens, each after so many steps of the trainer."""
+        """Return the actions, each with the trainer's step after which it is due."""
         if not self._has_faults:
             return [(8, lambda: self._roll(2, self._gateways))]
         return [
@@ -77,10 +77,10 @@
         deployment.start_planner()
         self._trainer = deployment.start_trainer(*options)
 
-    # The operator.
+    # Operator.
 
     def _roll(self, version: int, gateways: list[str]) -> None:
-        """Roll a bundle and wait until these gateways are seen to act on it."""
+        """Roll a bundle and wait until the probe sees these gateways apply it."""
         callers = [andes.CALLER]
         callers += [probe.caller_of(number) for number in range(1, version + 1)]
         path = self._deployment.write_bundle(version, callers)
@@ -96,7 +96,7 @@
         )
         self._rolled.append((rolled, gateways))
         seconds = self._probe.seconds_in_force(rolled, gateways)
-        _say(f"bundle {version} in force after {seconds:.2f} s")
+        _print_progress(f"bundle {version} in force after {seconds:.2f} s")
 
     # Faults.
 
@@ -106,13 +106,13 @@
         killed = next(name for name in self._gateways if name != leader)
         others = [name for name in self._gateways if name != killed]
         self._processes[killed].kill()
-        _say(f"killed {killed}")
+        _print_progress(f"killed {killed}")
         self._roll(2, others)
         self._processes.restart(killed)
         processes.wait_for(
             lambda: self._probe.has_seen(2, [killed]), READY_SECONDS, f"{killed} back"
         )
-        _say(f"{killed} is back")
+        _print_progress(f"{killed} is back")
 
     def _crash_engine(self) -> None:
         """Crash an engine while it generates, and start it again."""
@@ -123,16 +123,16 @@
             READY_SECONDS,
             f"{engine} crashed",
         )
-        _say(f"{engine} crashed in mid-stream")
+        _print_progress(f"{engine} crashed during a stream")
         self._processes.restart(engine)
 
     def _freeze_leader(self) -> None:
-        """Freeze the state group's leader, roll a bundle, and let it go on."""
+        """Freeze the state group's leader, roll a bundle, and resume the leader."""
         leader = self._deployment.leader()
         others = [name for name in self._gateways if name != leader]
         start = time.monotonic()
         self._processes[leader].freeze()
-        _say(f"froze {leader}, the leader")
+        _print_progress(f"froze {leader}, the leader")
         try:
             self._roll(3, others)
             time.sleep(max(0.0, start + FREEZE_SECONDS - time.monotonic()))
@@ -141,9 +141,9 @@
         processes.wait_for(
             lambda: self._probe.has_seen(3, [leader]), READY_SECONDS, f"{leader} back"
         )
-        _say(f"{leader} goes on")
+        _print_progress(f"{leader} is resumed")
 
-    # The clients.
+    # Clients.
 
     def _n_steps(self) -> int:
         path = self._deployment.folder / "trainer.journal"
@@ -154,14 +154,14 @@
             self._check_trainer()
             return self._n_steps() >= step
 
-        processes.wait_for(is_reached, step * STEP_SECONDS, f"step {step}")
+        processes.wait_for(is_reached, step * STEP_TIMEOUT_SECONDS, f"step {step}")
 
     def _check_trainer(self) -> None:
-        """Stop early if the trainer gave up."""
+        """Raise at once if the trainer exited with an error."""
         trainer = self._trainer
         if trainer is not None and trainer.popen.poll() not in (None, 0):
             raise processes.ConditionTimeoutError(
-                f"the trainer ended:\n{trainer.log_tail()}"
+                f"the trainer exited with an error:\n{trainer.log_tail()}"
             )
 
     def _wait_for_trainer(self) -> None:
@@ -172,18 +172,20 @@
             if self._n_steps() > n_steps:
                 n_steps = self._n_steps()
                 last = time.monotonic()
-            if time.monotonic() - last > STEP_SECONDS:
-                raise processes.ConditionTimeoutError(f"no step after {n_steps}")
+            if time.monotonic() - last > STEP_TIMEOUT_SECONDS:
+                raise processes.ConditionTimeoutError(
+                    f"the trainer stopped making steps after step {n_steps}"
+                )
         self._check_trainer()
 
     def _stop_planner(self) -> None:
         planner = self._processes["planner"]
-        if planner.terminate(PLANNER_SECONDS) != 0:
+        if planner.terminate(PLANNER_STOP_SECONDS) != 0:
             raise processes.ConditionTimeoutError(
-                f"the planners did not end:\n{planner.log_tail()}"
+                f"the planners did not exit with code 0:\n{planner.log_tail()}"
             )
 
-    # The end.
+    # Results.
 
     def _result(self) -> tuple[dict[str, Any], dict[str, Any], list[str]]:
         folder = self._deployment.folder
@@ -208,7 +210,9 @@
                     "seen_seconds": round(
                         self._probe.seconds_in_force(rolled, gateways), 3
                     ),
-                    "reported_seconds": round(rolled.reported - rolled.asked, 3),
+                    "reported_seconds": round(
+                        rolled.reported_at - rolled.requested_at, 3
+                    ),
                 }
                 for rolled, gateways in self._rolled
             ],
@@ -217,7 +221,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the demo; return 0 if everything held."""
+    """Run the demo; return 0 if no condition was violated."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "--faults",
@@ -241,18 +245,18 @@
     except SystemExit:
         print(f"interrupted; files are kept in {folder}", file=sys.stderr)
         raise
-    _say(f"took {time.monotonic() - start:.1f} s")
+    _print_progress(f"took {time.monotonic() - start:.1f} s")
     print(json.dumps(details))
     print(json.dumps(summary), flush=True)
     if breaches:
-        print(f"did not hold: {breaches}; files: {folder}", file=sys.stderr)
+        print(f"violated: {breaches}; files are kept in {folder}", file=sys.stderr)
         return 1
     if not options.folder:
         shutil.rmtree(folder)
     return 0
 
 
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(text, file=sys.stderr, flush=True)
 
 
--- a/misc/demos/figures.py
+++ b/misc/demos/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a run, worked out from what the stand-ins noted."""
+"""Compute the figures of a run from the journals and reports of the fakes."""
 
 import collections
 import json
@@ -16,20 +16,21 @@
 
 @attrs.frozen
 class Bookings:
-    """What became of the bookings, by the application's own journals."""
+    """Outcomes of the bookings, according to the journals of the fakes."""
 
     n_confirmed: int
     n_double: int
-    # Confirmed to the planner, and not carried out.
+    # Confirmed to the planner, but not run by an application.
     n_confirmed_not_run: int
-    # Refused as not run and given up by the planner, and yet carried out.
+    # Given up by the planner after a refusal that said it was not run, but run by an
+    # application.
     n_refused_but_run: int
     n_unknown: int
     n_given_up: int
 
 
 def count_bookings(folder: pathlib.Path) -> Bookings:
-    """Compare what the planners were told with what the application ran."""
+    """Compare the outcomes that planners received with what applications ran."""
     runs = collections.Counter(
         event["booking_id"]
         for path in sorted(folder.glob("schedule-*.journal"))
@@ -59,7 +60,7 @@
 
 
 def read_report(folder: pathlib.Path, name: str) -> dict[str, Any]:
-    """Return the report that a stand-in wrote when it ended."""
+    """Return the report that a fake wrote before it exited."""
     value: dict[str, Any] = json.loads((folder / f"{name}.report").read_text())
     return value
 
@@ -67,7 +68,7 @@
 def summary(
     trainer: dict[str, Any], bookings: Bookings, bundle_in_force_seconds: float
 ) -> dict[str, Any]:
-    """Return the figures that a run ends with."""
+    """Return the figures that are printed at the end of a run."""
     return {
         "n_samples_delivered": trainer["n_samples_delivered"],
         "n_duplicates": trainer["n_duplicates"],
@@ -88,7 +89,7 @@
     bookings: Bookings,
     reverts: list[str],
 ) -> list[str]:
-    """Return what did not hold in a run; empty if all did."""
+    """Return the conditions that a run violated; empty if there are none."""
     zeros = {
         "n_duplicates": trainer["n_duplicates"],
         "n_lost": trainer["n_lost"],
--- a/misc/measures/__init__.py
+++ b/misc/measures/__init__.py
@@ -1,1 +1,1 @@
-"""What the measurements share: load, stand-ins, records."""
+"""Modules shared by the measurements: load, fake upstreams, records."""
--- a/misc/measures/capacity_daemons.py
+++ b/misc/measures/capacity_daemons.py
@@ -1,10 +1,10 @@
-"""What daemons spend when nothing but control goes on, by role and number of gateways.
+"""Measure what daemons use without requests, by role and number of gateways.
 
-Three replicas of the state group and some gateways run as processes of their own, with
-engines that announce themselves and renew through gateways picked anew each time, as a
-balancer would. Processor time and memory are read from /proc. Bytes are those of the
-connections between the daemons, from the kernel's counters (`ss`), with 54 bytes of
-Ethernet, IP and TCP headers per segment.
+Three replicas of the state group and some gateways run as separate processes, with
+engines that announce themselves and renew through a randomly chosen gateway each time,
+as through a load balancer. Processor time and memory are read from /proc. Bytes are
+those of the connections between the daemons, from the kernel's counters (`ss`), plus 54
+bytes of Ethernet, IP and TCP headers per segment.
 """
 
 import collections
@@ -25,7 +25,7 @@
 
 ZONES: Final = ("surquillo", "callao", "ate")
 HEADER_BYTES: Final = 54
-# Upstreams per gateway at the size the project is built towards.
+# Upstreams per gateway at the planned full size: 870 upstreams and 330 gateways.
 ENGINES_PER_GATEWAY: Final = 870 / 330
 WAIT_SECONDS: Final = 90.0
 TICKS_PER_SECOND: Final = os.sysconf("SC_CLK_TCK")
@@ -42,9 +42,11 @@
 gateway: {{http_address: "127.0.0.1:{http_port}"{gateway_options}}}
 samples: {{{sample_options}}}
 """
-# Longer leases, for many gateways: a bundle is still in force everywhere within 10 s.
-_FLEET_GATEWAY_OPTIONS: Final = ", bundle_lease_seconds: 8, bundle_renew_seconds: 2.5"
-_FLEET_SAMPLE_OPTIONS: Final = "owner_lease_seconds: 9"
+# Longer leases for many gateways; a bundle is still in force everywhere within 10 s.
+_LONG_LEASE_GATEWAY_OPTIONS: Final = (
+    ", bundle_lease_seconds: 8, bundle_renew_seconds: 2.5"
+)
+_LONG_LEASE_SAMPLE_OPTIONS: Final = "owner_lease_seconds: 9"
 _BUNDLE: Final = """\
 version: 1
 parent: 0
@@ -74,7 +76,7 @@
 
 @attrs.frozen
 class Usage:
-    """What a process has spent since its start, and its memory now."""
+    """Resources that a process has used since its start, and its current memory."""
 
     cpu_seconds: float
     memory_bytes: int
@@ -87,10 +89,10 @@
     """Three replicas, some gateways and their engines."""
 
     def __init__(
-        self, running: processes.Processes, n_gateways: int, is_fleet: bool
+        self, running: processes.Processes, n_gateways: int, has_long_leases: bool
     ) -> None:
         self.running = running
-        self._is_fleet = is_fleet
+        self._has_long_leases = has_long_leases
         self.n_gateways = n_gateways
         self.n_engines = round(n_gateways * ENGINES_PER_GATEWAY)
         names = [(f"replica-{i}", "state") for i in range(len(ZONES))]
@@ -104,7 +106,7 @@
         self._pool = urllib3.PoolManager(retries=False, timeout=5.0)
 
     def start(self) -> None:
-        """Start everything and wait until all engines are listed everywhere."""
+        """Start everything and wait until every gateway lists all engines."""
         members = json.dumps(
             [
                 {
@@ -126,8 +128,12 @@
                     http_port=daemon.http_port,
                     folder=self.running.folder,
                     members=members,
-                    gateway_options=_FLEET_GATEWAY_OPTIONS if self._is_fleet else "",
-                    sample_options=_FLEET_SAMPLE_OPTIONS if self._is_fleet else "",
+                    gateway_options=_LONG_LEASE_GATEWAY_OPTIONS
+                    if self._has_long_leases
+                    else "",
+                    sample_options=_LONG_LEASE_SAMPLE_OPTIONS
+                    if self._has_long_leases
+                    else "",
                 )
             )
             arguments = ("--settings", str(settings))
@@ -154,18 +160,22 @@
 
     def _are_listed(self) -> bool:
         return all(
-            len(self.ask(gateway, "GET", "/v1/upstreams")[1].get("upstreams", ()))
+            len(
+                self.send_request(gateway, "GET", "/v1/upstreams")[1].get(
+                    "upstreams", ()
+                )
+            )
             == self.n_engines
             for gateway in self.gateways
         )
 
     def _post(self, path: str, fields: Any) -> tuple[int, Any]:
-        return self.ask(self.gateways[0], "POST", path, fields)
+        return self.send_request(self.gateways[0], "POST", path, fields)
 
-    def ask(
+    def send_request(
         self, daemon: Daemon, method: str, path: str, fields: Any = None
     ) -> tuple[int, Any]:
-        """Send one request to a daemon."""
+        """Send one request to a daemon; return status and body."""
         answer = self._pool.request(
             method,
             f"http://127.0.0.1:{daemon.http_port}{path}",
@@ -175,21 +185,21 @@
         return answer.status, json.loads(answer.data)
 
     def parts_by_name(self) -> dict[str, str]:
-        """Return what each daemon is: leader, follower, controller or gateway."""
+        """Return each daemon's part: leader, follower, controller or gateway."""
         parts = {}
-        _, state = self.ask(self.daemons[0], "GET", "/v1/state")
+        _, state = self.send_request(self.daemons[0], "GET", "/v1/state")
         for daemon in self.daemons:
             if daemon.role == "state":
                 is_leader = state["leader"] == daemon.name
                 parts[daemon.name] = "leader" if is_leader else "follower"
             else:
-                _, answer = self.ask(daemon, "GET", "/v1/weights")
+                _, answer = self.send_request(daemon, "GET", "/v1/weights")
                 gives_orders = answer.get("gives_orders")
                 parts[daemon.name] = "controller" if gives_orders else "gateway"
         return parts
 
     def usage_by_name(self) -> dict[str, Usage]:
-        """Return what each daemon has spent so far."""
+        """Return the resources that each daemon has used since its start."""
         sockets = subprocess.run(
             ["ss", "-tinpO", "state", "established"],
             capture_output=True,
@@ -204,7 +214,7 @@
 
 
 def roll_bundle(post: Post, content: str) -> None:
-    """Submit, sign off and roll a first bundle, trying until each step is done."""
+    """Submit, sign off and roll a first bundle; retry each step until it succeeds."""
     body = {"content": content, "file_name": "b.yaml"}
     digest = {"digest": post_until_done(post, "/v1/bundles", body)["digest"]}
     post_until_done(post, "/v1/bundles/1/sign-off", digest)
@@ -212,7 +222,7 @@
 
 
 def post_until_done(post: Post, path: str, fields: Any) -> Any:
-    """Send a request until it is answered with success; return the answer's body."""
+    """Retry a request until it succeeds; return the answer's body."""
     answers = []
 
     def is_done() -> bool:
@@ -267,13 +277,13 @@
     )
 
 
-def measure(n_gateways: int, seconds: float, is_fleet: bool) -> dict[str, Any]:
-    """Return what each part spends a second with `n_gateways` gateways."""
+def measure(n_gateways: int, seconds: float, has_long_leases: bool) -> dict[str, Any]:
+    """Return the resource usage per second of each part, with `n_gateways` gateways."""
     with (
         tempfile.TemporaryDirectory() as folder,
         processes.Processes(pathlib.Path(folder)) as running,
     ):
-        deployment = Deployment(running, n_gateways, is_fleet)
+        deployment = Deployment(running, n_gateways, has_long_leases)
         deployment.start()
         time.sleep(seconds / 4)
         parts = deployment.parts_by_name()
@@ -301,7 +311,7 @@
 
 
 def _summary(rows: list[dict[str, float]]) -> dict[str, list[float]]:
-    """Return mean and largest value of each figure."""
+    """Return the mean and the largest value of each figure."""
     return {
         name: [
             round(sum(row[name] for row in rows) / len(rows), 5),
--- a/misc/measures/capacity_records.py
+++ b/misc/measures/capacity_records.py
@@ -1,8 +1,9 @@
-"""What each kind of record costs a replica: memory, snapshot, log and processor time.
+"""Measure what each kind of record costs a replica: memory, disk and processor time.
 
-Each kind is brought into an empty state by its real commands, at three sizes, and the
-slope per record is taken by least squares. Memory is what Python allocated for the
-records (tracemalloc); the log's bytes are those of the encoded commands.
+For each kind its real commands create three different numbers of records in an empty
+state; the cost per record is the slope of a least-squares line. Memory is what Python
+allocated for the records (tracemalloc). The bytes of the log are those of the encoded
+commands, the bytes of a snapshot those of the encoded sections of the state.
 """
 
 import gc
@@ -21,7 +22,7 @@
 from bilberrydrum.state import machine, processes
 from bilberrydrum.weights import commands as weight_commands
 
-# Importing them registers what the commands do.
+# Importing these modules registers the functions that apply the commands.
 COMMAND_MODULES: Final = registrations.MODULES
 DAY_SECONDS: Final = 24 * 3600.0
 SLOTS_PER_GROUP: Final = 8
@@ -34,7 +35,7 @@
 RESULT: Final = b'{"booked": true}' * 16
 RULE: Final = sample_model.Rule(1, 2)
 
-# Commands that make n records.
+# Returns the commands that create n records.
 Commands = Callable[[int], Iterator[object]]
 
 
@@ -56,7 +57,7 @@
 
 
 def open_samples(n: int, first: int = 0) -> Iterator[object]:
-    """Ask for samples and record them; none is delivered."""
+    """Request samples and record them, without delivering any."""
     yield sample_commands.RenewOwner("gateway-17", 1, DAY_SECONDS, 0)
     names = []
     for i in range(first, first + n, SLOTS_PER_GROUP):
@@ -82,7 +83,7 @@
 
 
 def past_samples(n: int) -> Iterator[object]:
-    """Deliver and acknowledge steps of samples: what is left of them is their trace."""
+    """Deliver and acknowledge steps of samples, of which the state keeps the trace."""
     yield weight_commands.PublishWeights("outage", "planner", 42)
     yield sample_commands.OpenReader("outage")
     for first in range(0, n, SAMPLES_PER_STEP):
@@ -118,7 +119,7 @@
 
 @attrs.frozen
 class Kind:
-    """One kind of record and the numbers of it that are tried."""
+    """One kind of record and the numbers of records that are measured."""
 
     name: str
     commands: Commands
@@ -153,7 +154,8 @@
     started = time.process_time()
     _state_after(commands)
     apply_seconds = time.process_time() - started
-    # As a replica has it: restored from bytes, sharing nothing with the commands.
+    # The state is decoded from bytes, as after a restart of a replica. If it were the
+    # applied one, it would share objects with the commands and measure too small.
     sections = [codec.encode(each) for each in _state_after(commands).sections.values()]
     del commands
     gc.collect()
@@ -183,7 +185,7 @@
     data = codec.encode(sample_model.Payload("abcd" * n, token_ids))
     gc.collect()
     tracemalloc.start()
-    # As a holder has it: received from another gateway.
+    # A gateway that holds the payload has received and decoded it.
     payload = codec.decode(data)
     memory_bytes = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -198,27 +200,27 @@
     return Cost(n, memory_bytes, len(data), encode_seconds, len(data), decode_seconds)
 
 
-def slope(points: list[tuple[float, float]]) -> tuple[float, float]:
-    """Return the least-squares line through `points`: value at 0 and slope.
+def fit_line(points: list[tuple[float, float]]) -> tuple[float, float]:
+    """Return the least-squares line through `points`: its value at 0 and its slope.
 
-    Of a single size nothing but its value is known; the slope is 0 then.
+    If all points have the same x, the slope is unknown and returned as 0.
     """
     n = len(points)
     mean_x = sum(x for x, _ in points) / n
     mean_y = sum(y for _, y in points) / n
     spread = sum((x - mean_x) ** 2 for x, _ in points)
-    rise = sum((x - mean_x) * (y - mean_y) for x, y in points) / (spread or 1.0)
-    return mean_y - rise * mean_x, rise
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / (spread or 1.0)
+    return mean_y - slope * mean_x, slope
 
 
 def worst_error(points: list[tuple[float, float]]) -> float:
-    """Return the largest distance of a point from the line, as a share of the point."""
-    offset, rise = slope(points)
-    return max(abs(y - offset - rise * x) / abs(y) for x, y in points if y)
+    """Return the largest deviation from the line, as a share of the point."""
+    offset, slope = fit_line(points)
+    return max(abs(y - offset - slope * x) / abs(y) for x, y in points if y)
 
 
 def measure(share: float = 1.0) -> list[dict[str, Any]]:
-    """Return the slopes of all kinds of record, at a share of the large sizes."""
+    """Return the costs per record of all kinds; `share` scales the large sizes."""
     rows = []
     for kind in KINDS:
         is_large = kind.sizes[0] >= 1_000
@@ -228,7 +230,7 @@
 
 
 def measure_payloads() -> dict[str, Any]:
-    """Return the slopes of a payload over its tokens."""
+    """Return the costs of a payload per token."""
     return _row("payload's token", [payload_cost(n) for n in PAYLOAD_TOKENS])
 
 
@@ -236,6 +238,6 @@
     row: dict[str, Any] = {"kind": kind, "sizes": [each.n for each in costs]}
     for field in attrs.fields(Cost)[1:]:
         points = [(float(each.n), float(getattr(each, field.name))) for each in costs]
-        row[field.name] = slope(points)[1]
+        row[field.name] = fit_line(points)[1]
         row[f"{field.name}_error"] = round(worst_error(points), 3)
     return row
--- a/misc/measures/capacity_relay.py
+++ b/misc/measures/capacity_relay.py
@@ -1,8 +1,8 @@
-"""What a gateway spends on relayed model requests: per request and per event.
+"""Measure what relayed model requests cost a gateway, per request and per event.
 
-One daemon with both roles relays streams of one stand-in engine to clients in this
-process. Requests come at a fixed rate; the number of events per request is varied, and
-the gateway's processor time is fitted as a sum of a share per second, a cost per
+One daemon with both roles relays streams of one fake engine to clients in this process.
+Requests are sent at a fixed rate; the number of events per request is varied. The
+gateway's processor time per second is fitted as the sum of an idle share, a cost per
 request and a cost per event.
 """
 
@@ -19,7 +19,7 @@
 from misc.measures import capacity_daemons, capacity_records
 
 RATE: Final = 12.0
-# Tokens per request; the engine puts four into an event.
+# Tokens per request; the engine sends four of them in an event.
 TOKENS: Final = (4, 32, 128)
 _SETTINGS: Final = """\
 process_id: relay
@@ -99,7 +99,7 @@
         self.n_failed += status != 200 or b"[DONE]" not in data
 
     def run(self, n_tokens: int, seconds: float) -> dict[str, float]:
-        """Send requests at the rate for some time; return what the gateway spent."""
+        """Send requests at `RATE` for `seconds`; return what the gateway used."""
         self.n_requests = self.n_events = self.n_failed = 0
         pool = eventlet.GreenPool(256)
         started, cpu = time.monotonic(), capacity_daemons.cpu_seconds(self._pid)
@@ -118,7 +118,7 @@
         }
 
     def idle_core_share(self, seconds: float) -> float:
-        """Return what the daemon spends without requests."""
+        """Return the share of a core that the daemon uses without requests."""
         started, cpu = time.monotonic(), capacity_daemons.cpu_seconds(self._pid)
         eventlet.sleep(seconds)
         return (capacity_daemons.cpu_seconds(self._pid) - cpu) / (
@@ -131,7 +131,7 @@
 
 
 def measure(seconds: float) -> dict[str, Any]:
-    """Return the costs per request and per event, and the runs behind them."""
+    """Return the costs per request and per event, and the runs they are fitted to."""
     with (
         tempfile.TemporaryDirectory() as folder,
         processes.Processes(pathlib.Path(folder)) as running,
@@ -140,9 +140,9 @@
         relay.start()
         idle = relay.idle_core_share(seconds)
         runs = [relay.run(n_tokens, seconds) for n_tokens in TOKENS]
-    # The rate is the same in all runs, so the slope over events is the event's cost.
+    # All runs have the same request rate, so the slope is the cost of one event.
     points = [(run["events_per_second"], run["core_share"] - idle) for run in runs]
-    offset, per_event = capacity_records.slope(points)
+    offset, per_event = capacity_records.fit_line(points)
     rate = sum(run["requests_per_second"] for run in runs) / len(runs)
     per_request = offset / rate
     return {
--- a/misc/measures/capacity_values.py
+++ b/misc/measures/capacity_values.py
@@ -1,4 +1,4 @@
-"""What the measured slopes come to at the size the project is built towards."""
+"""Extrapolate the measured costs to the planned full size of a deployment."""
 
 from collections.abc import Iterator, Sequence
 from typing import Any, Final
@@ -18,23 +18,23 @@
 STEP_SECONDS: Final = 7 * 60.0
 CHANGES_PER_DAY: Final = 560
 DAY_SECONDS: Final = 24 * 3600.0
-# What a node may spend on control.
+# Budget of a node without requests: share of a core, memory, bytes sent per second.
 CORE_BUDGET: Final = 0.041
 MEMORY_BUDGET_MIB: Final = 128.0
 BYTES_BUDGET: Final = 19_000.0
 
-# Gateways that tell each other directly (options.UpstreamOptions.max_mesh_gateways).
+# Up to this many gateways exchange upstream records directly, without relay nodes.
 MAX_MESH: Final = options.UpstreamOptions().max_mesh_gateways
-# Sizes that a fit needs.
+# Number of sizes that a fit needs.
 MIN_POINTS: Final = 3
 
-# Tokens that an engine puts into one event; its choice, not this system's.
+# Tokens in one event of a stream; the engine chooses the number, not this system.
 TOKENS_PER_EVENT: Final = 1.0
-# Samples whose trace the state keeps per trainer.
+# Number of samples per trainer whose trace the state keeps.
 HISTORY_SAMPLES: Final = section.HISTORY_SAMPLES
-# Keys without a time that are remembered, ever.
+# Keys without a creation time are refused once this many keys are stored.
 MAX_UNTIMED_KEYS: Final = claims_state.MAX_FORGOTTEN
-# Share of the requests that is taken to be non-idempotent; not known.
+# Assumed share of non-idempotent requests; the real share is not known.
 CLAIM_SHARE: Final = 0.01
 
 
@@ -46,11 +46,11 @@
     what: str
     formula: str
     value: str
-    # Budget it is held against; empty: none is given.
+    # Budget for the figure; empty if there is none.
     budget: str = ""
 
 
-def work_out(
+def compute_values(
     daemons: Sequence[dict[str, Any]],
     fleet: Sequence[dict[str, Any]],
     records: Sequence[dict[str, Any]],
@@ -71,23 +71,23 @@
 class Fit:
     """A line through the means of one figure over the number of gateways G.
 
-    `power` is 0.5 for what goes through relaying seats, whose work rises with the
-    square root of G, and 1 for everything else.
+    `power` is 0.5 for figures that depend on relay nodes, whose work grows with the
+    square root of G, and 1 for all others.
     """
 
     offset: float
-    rise: float
+    slope: float
     power: float
 
-    def at(self, n_gateways: float) -> float:
+    def value_at(self, n_gateways: float) -> float:
         """Return the value with `n_gateways` gateways."""
-        return float(self.offset + self.rise * n_gateways**self.power)
+        return float(self.offset + self.slope * n_gateways**self.power)
 
     def formula(self, factor: float, unit: str) -> str:
         """Return the line as text, scaled by `factor`."""
         variable = "G" if self.power == 1 else "sqrt(G)"
         return (
-            f"{factor * self.offset:.3g} + {factor * self.rise:.3g} {variable} {unit}"
+            f"{factor * self.offset:.3g} + {factor * self.slope:.3g} {variable} {unit}"
         )
 
 
@@ -96,11 +96,11 @@
         (float(run["n_gateways"]) ** power, run["parts"][part][name][0])
         for run in daemons
         if part in run["parts"]
-        # Below this number all gateways tell each other directly.
+        # Up to this number of gateways there are no relay nodes.
         and (power == 1 or run["n_gateways"] > MAX_MESH)
     ]
-    offset, rise = capacity_records.slope(points)
-    return Fit(offset, rise, power)
+    offset, slope = capacity_records.fit_line(points)
+    return Fit(offset, slope, power)
 
 
 def _gateway(daemons: Sequence[dict[str, Any]], where: str) -> Iterator[Value]:
@@ -113,21 +113,21 @@
         "gateway",
         f"core, control only{where}",
         core.formula(100, "%"),
-        f"{100 * core.at(N_GATEWAYS):.0f}%",
+        f"{100 * core.value_at(N_GATEWAYS):.0f}%",
         f"{100 * CORE_BUDGET:.1f}%",
     )
     yield Value(
         "gateway",
         f"memory{where}",
         memory.formula(1, "MiB"),
-        f"{memory.at(N_GATEWAYS):.0f} MiB",
+        f"{memory.value_at(N_GATEWAYS):.0f} MiB",
         f"{MEMORY_BUDGET_MIB:.0f} MiB",
     )
     yield Value(
         "gateway",
         f"sent to other daemons{where}",
         sent.formula(1e-3, "KB/s"),
-        f"{1e-3 * sent.at(N_GATEWAYS):.0f} KB/s",
+        f"{1e-3 * sent.value_at(N_GATEWAYS):.0f} KB/s",
         f"{1e-3 * BYTES_BUDGET:.0f} KB/s",
     )
 
@@ -183,7 +183,7 @@
             part,
             f"core, control only{where}",
             core.formula(100, "%"),
-            f"{100 * core.at(N_GATEWAYS):.0f}%",
+            f"{100 * core.value_at(N_GATEWAYS):.0f}%",
         )
         for what, name in (("sent", "sent"), ("written to disk", "disk")):
             rate = _fit(daemons, part, f"{name}_per_second", 1.0)
@@ -191,7 +191,7 @@
                 part,
                 f"{what}{where}",
                 rate.formula(1e-3, "KB/s"),
-                f"{1e-3 * rate.at(N_GATEWAYS):.0f} KB/s",
+                f"{1e-3 * rate.value_at(N_GATEWAYS):.0f} KB/s",
             )
 
 
--- a/misc/measures/light_engines.py
+++ b/misc/measures/light_engines.py
@@ -1,10 +1,11 @@
-"""Many engines in one process, for measurements: they take orders and nothing else.
-
-Each engine listens on a loopback port of its own. A load takes a fixed time and counts
-against the weight store's rate, which all engines share; a swap takes a time drawn
-between half and one and a half times the one given. ``GET /report`` of the control
-address tells what every engine does. Given gateways, each engine announces itself and
-renews through one that is picked anew each time, as through a balancer.
+"""Run many minimal engines in one process, which only carry out orders.
+
+Each engine listens on its own loopback port. A load takes a fixed time and counts
+against the weight store's rate, which all engines share; a swap takes a random time
+between 0.5 and 1.5 times the given one. ``GET /report`` at the control address returns
+the state of every engine. If gateways are given, each engine announces itself and
+renews its lease through a randomly chosen gateway each time, as through a load
+balancer.
 """
 
 import argparse
@@ -26,7 +27,7 @@
 
 
 class Store:
-    """The weight store's rate: an allowance that grows up to one second's worth."""
+    """Limits loads to the weight store's rate, with a burst of one second's loads."""
 
     def __init__(self, rate):
         self.rate = rate
@@ -46,7 +47,7 @@
 
 
 class Engine:
-    """One engine's versions and faults."""
+    """One engine's weight versions and injected faults."""
 
     def __init__(self, engine_id, fleet):
         self.engine_id = engine_id
@@ -124,7 +125,7 @@
             engine.address = f"127.0.0.1:{listener.getsockname()[1]}"
             eventlet.spawn_n(accept, listener, self.answer_to(engine))
 
-    def announce_by(self, gateways):
+    def announce_through(self, gateways):
         for engine in self.engines:
             eventlet.spawn_n(announce, engine, gateways, self.random)
 
@@ -168,7 +169,7 @@
 
 
 def announce(engine, gateways, random_):
-    """Announce an engine and renew its lease, for ever."""
+    """Announce an engine and renew its lease, without end."""
     is_known = False
     eventlet.sleep(random_.uniform(0, RENEW_SECONDS))
     while True:
@@ -195,7 +196,7 @@
 
 
 def serve(connection, answer):
-    """Answer one request and close."""
+    """Answer one request and close the connection."""
     try:
         data = b""
         while b"\r\n\r\n" not in data:
@@ -243,7 +244,7 @@
     options = parser.parse_args()
     fleet = Fleet(options)
     if options.gateway:
-        fleet.announce_by(options.gateway)
+        fleet.announce_through(options.gateway)
     accept(eventlet.listen(("127.0.0.1", options.port)), fleet.control)
 
 
--- a/misc/measures/plain_daemon.py
+++ b/misc/measures/plain_daemon.py
@@ -1,8 +1,8 @@
-"""The daemon with the plain policy, to compare the real one with.
+"""Run the daemon with a plain policy, as a baseline for the real one.
 
-Round robin over the engines that could do the work, whether they have room or not; all
-attempts are sent at once, first in, first out; no second attempts, and no going on at
-another engine. What must always hold for samples is left as it is.
+Engines are chosen by round robin among the eligible ones, whether they have capacity or
+not. All attempts are sent at once, in the order of arrival, without second attempts and
+without resuming at another engine. The guarantees for samples are unchanged.
 """
 
 import itertools
@@ -19,7 +19,7 @@
 from bilberrydrum.samples import attempts, capacity, scheduling
 from bilberrydrum.upstreams import model as upstream_model
 
-_turns = itertools.count()
+_counter = itertools.count()
 
 
 def choose(
@@ -29,21 +29,21 @@
     *others: Any,
     **options: Any,
 ) -> upstream_model.Upstream | routing.Unavailable:
-    """Return the next engine in turn."""
+    """Return the next engine in round-robin order."""
     del router, now, others, options
     upstreams = sorted(eligible, key=lambda upstream: upstream.upstream_id)
     if not upstreams:
         return routing.Unavailable.NONE_ELIGIBLE
-    return upstreams[next(_turns) % len(upstreams)]
+    return upstreams[next(_counter) % len(upstreams)]
 
 
 def order(schedule: scheduling.Schedule, key: scheduling.Key) -> tuple[int, int]:
-    """Return the place of a slot in the order of arrival."""
+    """Return the sort key that puts slots in the order of arrival."""
     return (schedule.wanted_by_key[key].sequence, key.slot)
 
 
-def make_plain() -> None:
-    """Put the plain policy in the place of the real one."""
+def install_plain_policy() -> None:
+    """Replace the real policy by the plain one."""
     routing.Router.choose = choose  # type: ignore[method-assign, assignment]
     scheduling.Schedule._order = order  # type: ignore[method-assign, assignment]
     scheduling.SLOW_SHARE = 0.0  # type: ignore[misc]
@@ -52,5 +52,5 @@
 
 
 if __name__ == "__main__":
-    make_plain()
+    install_plain_policy()
     sys.exit(main.main())
--- a/misc/measures/request_load.py
+++ b/misc/measures/request_load.py
@@ -1,8 +1,9 @@
 """Programs for misc/measure_requests: a fast upstream, a bare relay, and callers.
 
-The upstream and the callers speak just enough HTTP over plain sockets to be cheaper
-than what is measured. The relay is the least that eventlet's WSGI server and urllib3
-can do: it takes a request, makes it again, and returns the answer.
+The upstream and the callers speak minimal HTTP over plain sockets, so that they use
+less processor time than what is measured. The relay is the simplest one that can be
+built from eventlet's WSGI server and urllib3: it sends each request on and returns the
+answer.
 """
 
 import argparse
@@ -21,13 +22,14 @@
 import urllib3
 
 READ_BYTES = 64 * 1024
-# In place of a status: the connection ended before a whole answer, or was not made.
-CUT = 0
+# Recorded in place of a status: the connection closed before the answer was complete,
+# or could not be opened.
+INCOMPLETE = 0
 UNREACHABLE = -1
 
 
 def read_head(connection: Any, data: bytes) -> tuple[bytes, bytes]:
-    """Return a message's head and what was read after it; empty at the end."""
+    """Return a message's head and the bytes after it; both empty at end of stream."""
     while b"\r\n\r\n" not in data:
         part = connection.recv(READ_BYTES)
         if not part:
@@ -46,7 +48,7 @@
 
 
 class Upstream:
-    """Serves every request after a fixed time, or streams tokens as an engine."""
+    """Answers every request after a fixed time, or streams tokens like an engine."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -116,7 +118,7 @@
 
 
 class Relay:
-    """The bare relay."""
+    """The bare relay, with which a gateway is compared."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -139,23 +141,23 @@
             headers=headers,
             preload_content=False,
         )
-        kept = [("Content-Type", answer.headers["Content-Type"])]
+        answer_headers = [("Content-Type", answer.headers["Content-Type"])]
         if "Content-Length" not in answer.headers:
-            start_response("200 OK", kept)
-            return self._pass_on(answer)
+            start_response("200 OK", answer_headers)
+            return self._relay_body(answer)
         data = answer.read()
         answer.release_conn()
-        start_response("200 OK", [*kept, ("Content-Length", str(len(data)))])
+        start_response("200 OK", [*answer_headers, ("Content-Length", str(len(data)))])
         return [data]
 
-    def _pass_on(self, answer: Any) -> Any:
+    def _relay_body(self, answer: Any) -> Any:
         while part := answer.read1(READ_BYTES):
             yield part
         answer.release_conn()
 
 
 class Callers:
-    """Callers that keep connections open and ask one request after the other."""
+    """Callers that keep connections open and send one request after the other."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
@@ -163,7 +165,7 @@
         self.seconds: list[float] = []
         self.n_events = 0
         self.n_in_all = 0
-        # Callers that were told that their connection ends.
+        # Number of answers that announced the end of their connection.
         self.n_told = 0
         self._rng = random.Random(1)
         self._next_at = 0.0
@@ -177,7 +179,8 @@
     def run(self) -> dict[str, Any]:
         self._next_at = time.monotonic()
         tasks = [
-            eventlet.spawn(self._ask_on, i) for i in range(self.options.n_connections)
+            eventlet.spawn(self._send_requests, i)
+            for i in range(self.options.n_connections)
         ]
         eventlet.sleep(self.options.warm_seconds)
         self.statuses.clear()
@@ -193,9 +196,9 @@
         n_events = self.n_events
         for task in tasks:
             task.kill()
-        n_whole = statuses.get(200, 0)
+        n_complete = statuses.get(200, 0)
         return {
-            "n_per_second": n_whole / elapsed,
+            "n_per_second": n_complete / elapsed,
             "n_events_per_second": n_events / elapsed,
             "statuses": statuses,
             "n_in_all": self.n_in_all,
@@ -204,21 +207,21 @@
             "p99_ms": 1000 * quantile(seconds, 0.99),
         }
 
-    def _ask_on(self, number: int) -> None:
+    def _send_requests(self, number: int) -> None:
         host, _, port = self.options.address.partition(":")
         connection = None
-        n_asked = 0
+        n_sent = 0
         while True:
             began = time.monotonic()
             if self.options.rate:
-                began = self._next_turn()
-            n_asked += 1
+                began = self._wait_until_due()
+            n_sent += 1
             status = UNREACHABLE
             try:
                 if connection is None:
                     connection = eventlet.connect((host, int(port)))
-                status = CUT
-                connection.sendall(self._request % b"%d-%d" % (number, n_asked))
+                status = INCOMPLETE
+                connection.sendall(self._request % b"%d-%d" % (number, n_sent))
                 status, is_last = self._read(connection)
                 if is_last:
                     connection = None
@@ -234,10 +237,11 @@
             elif self.options.retry_seconds:
                 eventlet.sleep(self.options.retry_seconds)
 
-    def _next_turn(self) -> float:
-        """Wait for the next time at which a request is due, and return that time.
+    def _wait_until_due(self) -> float:
+        """Wait until the next request is due; return the time at which it was due.
 
-        A late answer does not put off the next request, and its own lateness counts.
+        Due times do not depend on answers. Latencies are counted from the due time, so
+        the delay of a request behind a late answer is part of its latency.
         """
         at = self._next_at
         self._next_at += self._rng.expovariate(self.options.rate)
@@ -245,7 +249,7 @@
         return at
 
     def _read(self, connection: Any) -> tuple[int, bool]:
-        """Return the status of a whole answer, and whether no other will follow."""
+        """Return the status of a complete answer, and whether the connection closes."""
         head, data = read_head(connection, b"")
         if not head:
             raise ConnectionError("closed")
@@ -269,7 +273,7 @@
 
 
 def quantile(ordered: list[float], share: float) -> float:
-    """Return a quantile of sorted values; not a number without any."""
+    """Return a quantile of sorted values; NaN if there are none."""
     if not ordered:
         return float("nan")
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
--- a/misc/measures/request_site.py
+++ b/misc/measures/request_site.py
@@ -35,7 +35,7 @@
 
 
 class Site:
-    """Some daemons, a bare relay, and upstreams that serve both."""
+    """Some daemons, a bare relay, and the upstreams of both."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         event_seconds: float = 0.0,
     ) -> None:
         self._processes = started
-        # Time between two events of a stream.
+        # Seconds between two events of a stream.
         self._event_seconds = str(event_seconds)
         ports = loopback.free_ports(2 * n_daemons + 5)
         addresses = [f"127.0.0.1:{port}" for port in ports]
@@ -58,7 +58,7 @@
         self._stopping = threading.Event()
         self._renewing = threading.Thread(target=self._renew, daemon=True)
 
-    def start(self, n_places: int, service_seconds: float) -> None:
+    def start(self, max_concurrency: int, service_seconds: float) -> None:
         """Start everything, put the bundle in force and announce the upstreams."""
         for i, address in enumerate(self.daemons):
             self._start_daemon(i, address)
@@ -76,28 +76,30 @@
             ("relay", self.relay, self.upstream),
             ("stream-relay", self.stream_relay, self._stream_upstream),
         ):
-            self._load(name, "relay", "--port", _port(address), "--upstream", upstream)
+            self._start_program(
+                name, "relay", "--port", _port(address), "--upstream", upstream
+            )
         for address in self.daemons:
-            self._until(lambda a=address: self._status(a, "/v1/state") == 200)
+            self._wait_until(lambda a=address: self._status(a, "/v1/state") == 200)
         self._roll()
         self._announced = {
             "fast": _application("schedule", self.upstream, 64),
             "stream": _engine(self._stream_upstream, 64),
-            "slow": _application("slow", self._slow, n_places),
+            "slow": _application("slow", self._slow, max_concurrency),
         }
         for name in self._announced:
-            self._until(lambda n=name: self._announce(n) == 200)
+            self._wait_until(lambda n=name: self._announce(n) == 200)
         self._renewing.start()
         for address in self.daemons:
-            self._until(lambda a=address: self._status(a, "/readyz") == 200)
-            self._until(lambda a=address: len(self._standing(a)) == 3)
+            self._wait_until(lambda a=address: self._status(a, "/readyz") == 200)
+            self._wait_until(lambda a=address: len(self._active_ids(a)) == 3)
 
     def stop(self) -> None:
-        """End the renewals; the processes end with their owner."""
+        """Stop the renewals; the owner of the processes stops those."""
         self._stopping.set()
         self._renewing.join()
 
-    def ask(
+    def run_callers(
         self,
         address: str,
         path: str,
@@ -108,14 +110,15 @@
         rate: float = 0.0,
         retry_seconds: float = 0.0,
         seconds: float = 2.0,
-        watched: str = "",
-        leaves: bool = False,
+        measured_process: str = "",
+        leaves_when_told: bool = False,
         warm_seconds: float = 0.3,
     ) -> Any:
-        """Run callers as a process and return what they saw.
+        """Run callers in a separate process and return their figures.
 
-        `watched` names the process whose processor time per request is wanted. With
-        `leaves`, a caller goes elsewhere when it is told that its connection ends.
+        If `measured_process` is given, the figures include the processor time of that
+        process per request. With `leaves_when_told`, a caller stops after an answer
+        that announces the end of its connection.
         """
         arguments = [
             "-m",
@@ -128,23 +131,23 @@
         arguments += ["--n-connections", str(n_connections), "--rate", str(rate)]
         arguments += ["--retry-seconds", str(retry_seconds)]
         arguments += ["--seconds", str(seconds), "--warm-seconds", str(warm_seconds)]
-        arguments += ["--leave-when-told"] if leaves else []
+        arguments += ["--leave-when-told"] if leaves_when_told else []
         for header in headers:
             arguments += ["--header", header]
-        cpu_before = self.cpu_seconds(watched) if watched else 0.0
+        cpu_before = self.cpu_seconds(measured_process) if measured_process else 0.0
         code, output, errors = processes.run_tool(
             [sys.executable, *arguments], timeout=seconds + 30.0
         )
         if code != 0:
             raise RuntimeError(errors)
         answer = json.loads(output)
-        if watched:
-            spent = self.cpu_seconds(watched) - cpu_before
+        if measured_process:
+            spent = self.cpu_seconds(measured_process) - cpu_before
             answer["cpu_ms"] = 1000.0 * spent / max(1, answer["n_in_all"])
         return answer
 
     def cpu_seconds(self, name: str) -> float:
-        """Return the processor time that a process has taken."""
+        """Return the processor time that a process has used, in seconds."""
         text = pathlib.Path(f"/proc/{self._processes[name].pid}/stat").read_text()
         fields = text.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -160,29 +163,29 @@
         return sum(float(line.rpartition(" ")[2]) for line in lines)
 
     def memory_mib(self, name: str) -> float:
-        """Return the memory that a process has in use."""
+        """Return the resident memory of a process, in MiB."""
         path = pathlib.Path(f"/proc/{self._processes[name].pid}/statm")
         n_pages = int(path.read_text().split()[1])
         return n_pages * os.sysconf("SC_PAGE_SIZE") / 2**20
 
     def leave_spread(self, number: int) -> float:
-        """Return the time from an upstream's leave until no gateway lists it."""
+        """Return the seconds from an upstream's leave until no gateway lists it."""
         upstream_id = f"leaver-{number}"
         self._announced[upstream_id] = _application("slow", self._slow, 1)
-        self._until(lambda: self._announce(upstream_id) == 200)
+        self._wait_until(lambda: self._announce(upstream_id) == 200)
         for address in self.daemons:
-            self._until(lambda a=address: upstream_id in self._standing(a))
+            self._wait_until(lambda a=address: upstream_id in self._active_ids(a))
         del self._announced[upstream_id]
-        home = self.daemons[number % len(self.daemons)]
+        owner = self.daemons[number % len(self.daemons)]
         began = time.monotonic()
-        self._until(
+        self._wait_until(
             lambda: (
-                self._status(home, f"/v1/upstreams/{upstream_id}/leave", "POST", {})
+                self._status(owner, f"/v1/upstreams/{upstream_id}/leave", "POST", {})
                 == 200
             )
         )
         for address in self.daemons:
-            self._until(lambda a=address: upstream_id not in self._standing(a))
+            self._wait_until(lambda a=address: upstream_id not in self._active_ids(a))
         return time.monotonic() - began
 
     def _start_daemon(self, number: int, address: str) -> None:
@@ -209,9 +212,9 @@
         self._processes.start_module(name, "bilberrydrum.main", "--settings", str(path))
 
     def _start_upstream(self, name: str, address: str, *arguments: str) -> None:
-        self._load(name, "upstream", "--port", _port(address), *arguments)
+        self._start_program(name, "upstream", "--port", _port(address), *arguments)
 
-    def _load(self, name: str, *arguments: str) -> None:
+    def _start_program(self, name: str, *arguments: str) -> None:
         self._processes.start_module(name, "misc.measures.request_load", *arguments)
 
     def _roll(self) -> None:
@@ -223,11 +226,11 @@
             digests.append(answer.get("digest", ""))
             return status in (200, 201)
 
-        self._until(submit)
+        self._wait_until(submit)
         digest = {"digest": digests[-1]}
         for step in ("sign-off", "roll"):
             path = f"/v1/bundles/1/{step}"
-            self._until(
+            self._wait_until(
                 lambda p=path: (
                     self._status(self.gateway, p, "POST", digest) in (200, 202)
                 )
@@ -243,7 +246,7 @@
         path = f"/v1/upstreams/{name}"
         return self._status(self.gateway, path, "PUT", self._announced[name])
 
-    def _standing(self, address: str) -> set[str]:
+    def _active_ids(self, address: str) -> set[str]:
         _, answer = self._call(address, "/v1/upstreams", "GET", None)
         return {
             upstream["upstream_id"]
@@ -271,11 +274,13 @@
             return 0, {}
         return answer.status, document if isinstance(document, dict) else {}
 
-    def _until(self, condition: Any) -> None:
-        give_up_at = time.monotonic() + START_SECONDS
+    def _wait_until(self, condition: Any) -> None:
+        deadline = time.monotonic() + START_SECONDS
         while not condition():
-            if time.monotonic() > give_up_at:
-                raise RuntimeError("the site does not get ready")
+            if time.monotonic() > deadline:
+                raise RuntimeError(
+                    "the daemons or upstreams did not become ready in time"
+                )
             time.sleep(0.005)
 
 
@@ -283,22 +288,22 @@
     return address.rpartition(":")[2]
 
 
-def _application(name: str, address: str, n_places: int) -> dict[str, Any]:
+def _application(name: str, address: str, max_concurrency: int) -> dict[str, Any]:
     return {
         "kind": "application",
         "application": name,
         "address": address,
         "availability_zone": "zone-0",
-        "max_concurrency": n_places,
+        "max_concurrency": max_concurrency,
     }
 
 
-def _engine(address: str, n_places: int) -> dict[str, Any]:
+def _engine(address: str, max_concurrency: int) -> dict[str, Any]:
     return {
         "kind": "engine",
         "address": address,
         "availability_zone": "zone-0",
-        "max_concurrency": n_places,
+        "max_concurrency": max_concurrency,
         "models": {"planner": {"weight_version": 1, "loaded_versions": [1]}},
         "role": "generate",
         "can_resume": False,
--- a/misc/measures/routing_model.py
+++ b/misc/measures/routing_model.py
@@ -1,10 +1,10 @@
-"""Compare ways to choose an engine on the same work, in a model moved by hand.
+"""Compare ways to choose an engine, in a simulation of the same workload.
 
-Several gateways send calls with heavy-tailed lengths to engines of a fixed number of
-places. An engine serves those beyond its places in order, at its own queue. Reports of
-load reach the gateways late. A prompt whose prefix an engine holds saves a part of the
-time. What is compared is the real `Admission` and `Router` with round-robin and chance,
-which send at once.
+Several gateways send calls with heavy-tailed lengths to engines of a fixed concurrency.
+An engine queues the calls beyond that and runs them in order. Load reports reach the
+gateways late. A call is shorter if the engine has the prefix of its prompt cached. The
+real `Admission` and `Router` are compared with round-robin and random choice, which
+send calls at once.
 """
 
 import collections
@@ -22,7 +22,7 @@
 NEED: Final = routing.Need(model.KIND_ENGINE, "planner")
 REPORT_SECONDS: Final = 0.5
 REPORT_LAG_SECONDS: Final = 0.5
-# Share of a call's time that is saved where its prefix is held.
+# Share of a call's time that is saved if the engine has its prefix cached.
 PREFIX_SAVING: Final = 0.15
 CACHE_SIZE: Final = 40
 N_PREFIXES: Final = 200
@@ -30,11 +30,11 @@
 
 @attrs.frozen
 class Sizes:
-    """What is modelled."""
+    """Parameters of the simulation."""
 
     n_gateways: int = 3
     n_engines: int = 5
-    n_places: int = 16
+    max_concurrency: int = 16
     load: float = 0.8
     n_calls: int = 20_000
     seed: int = 1
@@ -51,7 +51,7 @@
 
 @attrs.define
 class _Engine:
-    n_places: int
+    max_concurrency: int
     n_running: int = 0
     waiting: collections.deque[_Call] = attrs.field(factory=collections.deque)
     cache: collections.OrderedDict[str, None] = attrs.field(
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class Outcome:
-    """What became of the calls."""
+    """Waiting times of the calls, in seconds, and their share of prefix hits."""
 
     p50_wait: float
     p99_wait: float
@@ -70,7 +70,7 @@
 
 
 class Model:
-    """Runs the work under one way to choose."""
+    """Simulates the workload under one policy."""
 
     def __init__(self, sizes: Sizes, policy: str) -> None:
         self.sizes = sizes
@@ -79,16 +79,16 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
         self._engines = {
-            f"e{i}": _Engine(sizes.n_places) for i in range(sizes.n_engines)
+            f"e{i}": _Engine(sizes.max_concurrency) for i in range(sizes.n_engines)
         }
         self._ids = list(self._engines)
-        self._turns = [itertools.count(i) for i in range(sizes.n_gateways)]
+        self._counters = [itertools.count(i) for i in range(sizes.n_gateways)]
         self._rng = random.Random(sizes.seed + 1)
         self._waits: list[float] = []
         self._n_hits = 0
         self._calls_by_ticket: dict[int, _Call] = {}
         self._reports = {
-            upstream_id: _upstream(upstream_id, sizes.n_places)
+            upstream_id: _upstream(upstream_id, sizes.max_concurrency)
             for upstream_id in self._ids
         }
         self._admissions = [
@@ -100,7 +100,7 @@
         ]
 
     def run(self) -> Outcome:
-        self._plan()
+        self._schedule_arrivals()
         self._report()
         while len(self._waits) < self.sizes.n_calls:
             self.now, _, action = heapq.heappop(self._events)
@@ -113,43 +113,43 @@
             self._n_hits / len(waits),
         )
 
-    def _plan(self) -> None:
-        """Plan every call; the same for each way to choose."""
+    def _schedule_arrivals(self) -> None:
+        """Schedule the arrival of every call; the same calls for each policy."""
         rng = random.Random(self.sizes.seed)
-        n_places = self.sizes.n_engines * self.sizes.n_places
+        total_concurrency = self.sizes.n_engines * self.sizes.max_concurrency
         lengths = [_length(rng) for _ in range(self.sizes.n_calls)]
-        rate = self.sizes.load * n_places / (sum(lengths) / len(lengths))
+        rate = self.sizes.load * total_concurrency / (sum(lengths) / len(lengths))
         at = 0.0
         for seconds in lengths:
             at += rng.expovariate(rate)
             prefix = str(int(rng.paretovariate(0.7)) % N_PREFIXES)
             call = _Call(rng.randrange(self.sizes.n_gateways), prefix, seconds, at)
-            self._at(at, lambda call=call: self._arrive(call))
+            self._schedule(at, lambda call=call: self._arrive(call))
 
-    def _at(self, at: float, action: Callable[[], None]) -> None:
+    def _schedule(self, at: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (at, next(self._numbers), action))
 
     def _report(self) -> None:
         for upstream_id, engine in self._engines.items():
             load = model.Load(engine.n_running, len(engine.waiting))
-            report = _upstream(upstream_id, engine.n_places, load)
-            self._at(
+            report = _upstream(upstream_id, engine.max_concurrency, load)
+            self._schedule(
                 self.now + REPORT_LAG_SECONDS,
-                lambda report=report: self._hear(report),
+                lambda report=report: self._receive_report(report),
             )
-        self._at(self.now + REPORT_SECONDS, self._report)
+        self._schedule(self.now + REPORT_SECONDS, self._report)
 
-    def _hear(self, report: model.Upstream) -> None:
+    def _receive_report(self, report: model.Upstream) -> None:
         self._reports[report.upstream_id] = report
         for gateway in range(self.sizes.n_gateways):
-            self._pump(gateway)
+            self._schedule_waiting(gateway)
 
     def _arrive(self, call: _Call) -> None:
         if self.policy == "round-robin":
-            turn = next(self._turns[call.gateway])
-            self._enter(call, self._ids[turn % len(self._ids)])
+            turn = next(self._counters[call.gateway])
+            self._submit(call, self._ids[turn % len(self._ids)])
         elif self.policy == "random":
-            self._enter(call, self._rng.choice(self._ids))
+            self._submit(call, self._rng.choice(self._ids))
         else:
             self._offer(call)
 
@@ -158,15 +158,15 @@
         call.ticket = ticket
         self._calls_by_ticket[id(ticket)] = call
         queue = self._admissions[call.gateway]
-        place = self._placer(call.gateway)
-        self._carry_out(queue.offer(self.now, ticket, place))
+        choose = self._chooser(call.gateway)
+        self._carry_out(queue.offer(self.now, ticket, choose))
 
-    def _pump(self, gateway: int) -> None:
+    def _schedule_waiting(self, gateway: int) -> None:
         queue = self._admissions[gateway]
-        self._carry_out(queue.schedule_waiting(self.now, self._placer(gateway)))
+        self._carry_out(queue.schedule_waiting(self.now, self._chooser(gateway)))
 
-    def _placer(self, gateway: int) -> admission.ChooseUpstream:
-        def place(ticket: queues.Ticket) -> model.Upstream | routing.Unavailable:
+    def _chooser(self, gateway: int) -> admission.ChooseUpstream:
+        def choose(ticket: queues.Ticket) -> model.Upstream | routing.Unavailable:
             holders = frozenset()
             if self.policy == "expected-wait-and-prefix":
                 holders = frozenset(
@@ -181,17 +181,17 @@
                 self._routers[gateway].record_start(chosen.upstream_id, self.now)
             return chosen
 
-        return place
+        return choose
 
     def _carry_out(self, effects: list[admission.Effect]) -> None:
         for effect in effects:
             assert isinstance(effect, admission.Granted)
             call = self._calls_by_ticket.pop(id(effect.ticket))
-            self._enter(call, effect.upstream.upstream_id)
+            self._submit(call, effect.upstream.upstream_id)
 
-    def _enter(self, call: _Call, upstream_id: str) -> None:
+    def _submit(self, call: _Call, upstream_id: str) -> None:
         engine = self._engines[upstream_id]
-        if engine.n_running < engine.n_places:
+        if engine.n_running < engine.max_concurrency:
             self._begin(call, upstream_id)
         else:
             engine.waiting.append(call)
@@ -208,7 +208,7 @@
         engine.cache.move_to_end(call.prefix)
         if len(engine.cache) > CACHE_SIZE:
             engine.cache.popitem(last=False)
-        self._at(self.now + seconds, lambda: self._end(call, upstream_id))
+        self._schedule(self.now + seconds, lambda: self._end(call, upstream_id))
 
     def _end(self, call: _Call, upstream_id: str) -> None:
         engine = self._engines[upstream_id]
@@ -222,23 +222,23 @@
             upstream_id, self.now, seconds, call.seconds
         )
         self._admissions[call.gateway].record_end(self.now, call.ticket, None, True)
-        self._pump(call.gateway)
+        self._schedule_waiting(call.gateway)
 
 
 def _length(rng: random.Random) -> float:
-    """Return a heavy-tailed time: many of a second, few of a minute."""
+    """Return a heavy-tailed length in seconds: many of about 1, few of up to 60."""
     return min(60.0, 0.5 * rng.paretovariate(1.2))
 
 
 def _upstream(
-    upstream_id: str, n_places: int, load: model.Load | None = None
+    upstream_id: str, max_concurrency: int, load: model.Load | None = None
 ) -> model.Upstream:
     return model.Upstream(
         upstream_id,
         model.KIND_ENGINE,
         "",
         "a",
-        n_places,
+        max_concurrency,
         {"planner": model.ServedModel(1)},
         load=load or model.Load(),
     )
@@ -253,5 +253,5 @@
 
 
 def compare(sizes: Sizes) -> dict[str, Outcome]:
-    """Return the outcome of each policy on the same work."""
+    """Return the outcome of each policy on the same workload."""
     return {policy: Model(sizes, policy).run() for policy in POLICIES}
--- a/misc/measures/sample_engine.py
+++ b/misc/measures/sample_engine.py
@@ -1,8 +1,9 @@
-"""The stand-in for an engine, with lengths that belong to the sample.
+"""Run the fake engine with lengths that depend only on the sample.
 
-The length of a sample is drawn from its id, so that another attempt at it, or the same
-one going on at another engine, is as long as the first. Drawn anew, a second attempt
-would look like a remedy for long samples when it only asks for other, shorter ones.
+The length of a sample is drawn from its id, so that a second attempt, or an attempt
+resumed at another engine, is as long as the first. If each attempt drew its own length,
+second attempts would seem to help with long samples, although they would only be given
+other, shorter ones.
 """
 
 import random
@@ -16,13 +17,13 @@
 
 from tests.fakes import batching, engine, journal
 
-# A longer time between two steps was an idle one.
+# If two steps are further apart than this many step times, the engine was idle.
 MAX_STEPS_BETWEEN = 5
 PACE_SECONDS = 0.5
 
 
 def length_of(request_id: str, median: int) -> int:
-    """Return the length of the sample that a request is an attempt at."""
+    """Return the length, in tokens, of the sample that a request generates."""
     sample_id = request_id.partition("#")[0]
     shape = batching.LENGTH_SHAPE
     scale = random.Random(sample_id).paretovariate(shape) / 2 ** (1 / shape)
@@ -30,7 +31,7 @@
 
 
 class SampleBatcher(batching.Batcher):
-    """Batches streams whose lengths are those of their samples, and times its steps."""
+    """Batches streams with the lengths of their samples, and measures its steps."""
 
     n_steps = 0
     busy_seconds = 0.0
@@ -54,17 +55,17 @@
         priority: int,
         n_made: int,
     ) -> batching.Stream:
-        """Take on a generation that goes on after `n_made` tokens."""
+        """Add a stream that continues after `n_made` tokens."""
         stream = super().submit(request_id, model, prompt, max_tokens, priority, n_made)
         stream.length = length_of(request_id, self.settings.median_length)
         return stream
 
 
-def note_pace(batcher: SampleBatcher, notes: journal.Journal) -> None:
-    """Note how long steps really take, which a busy machine makes longer."""
+def record_pace(batcher: SampleBatcher, pace_journal: journal.Journal) -> None:
+    """Record how long steps really take, which is longer on a busy machine."""
     while True:
         eventlet.sleep(PACE_SECONDS)
-        notes.write(
+        pace_journal.write(
             "pace",
             time=time.time(),
             n_steps=batcher.n_steps,
@@ -76,10 +77,10 @@
 def main() -> None:
     """Run the engine."""
     batching.Batcher = SampleBatcher  # type: ignore[misc]
-    stand_in = engine.Engine(engine._parser().parse_args())
-    assert isinstance(stand_in.batcher, SampleBatcher)
-    eventlet.spawn(note_pace, stand_in.batcher, stand_in.journal)
-    stand_in.run()
+    fake_engine = engine.Engine(engine._parser().parse_args())
+    assert isinstance(fake_engine.batcher, SampleBatcher)
+    eventlet.spawn(record_pace, fake_engine.batcher, fake_engine.journal)
+    fake_engine.run()
 
 
 if __name__ == "__main__":
--- a/misc/measures/sample_site.py
+++ b/misc/measures/sample_site.py
@@ -16,11 +16,11 @@
 N_SCORERS: Final = 2
 SCORER: Final = "scorer"
 POLICY_PLAIN: Final = "plain"
-# What goes wrong in a run.
+# Kinds of faults in a run: no fault at all.
 NO_FAULTS: Final = "none"
-# One swap fails and one engine is lost.
+# One swap fails and one engine is killed.
 FAULTS: Final = "faults"
-# One engine is slow, from the beginning.
+# One engine is slow from the start, by the factor below.
 SLOW_ENGINE: Final = "slow_engine"
 SLOWNESS: Final = 3.0
 START_SECONDS: Final = 60.0
@@ -28,21 +28,21 @@
 
 
 @attrs.frozen
-class Load:
-    """What is asked of a deployment; lengths and times are assumptions."""
+class Workload:
+    """The workload of a deployment; lengths and times are assumptions."""
 
     name: str
     zones: tuple[str, ...]
     model: str
     trainers: tuple[str, ...]
     staleness_bound: int
-    # Time of one engine step, in which each running sample gets one token.
+    # Duration of an engine step, in which each running sample gets one token.
     step_seconds: float
     max_concurrency: int
     # Per trainer and training step.
     n_groups: int
     n_slots: int
-    # Engine steps that a training step lasts.
+    # Duration of a training step, in engine steps.
     train_engine_steps: float
     publish_every: int
     n_steps_ahead: int
@@ -58,14 +58,14 @@
     """The raw figures of one run."""
 
     reports: tuple[dict[str, Any], ...]
-    # Engine tokens made for samples that were delivered, and those delivered.
+    # Tokens generated for the delivered samples, in all attempts, and delivered tokens.
     n_tokens_made: int
     n_tokens_delivered: int
-    # Wall clock at which the first engine was lost; 0: it was not.
+    # Wall-clock time at which the first engine was killed; 0 if it was not.
     engine_lost_at: float
-    # Time that a step really took, by engine.
+    # Measured duration of a step, by engine.
     step_seconds: tuple[float, ...]
-    # Tokens that the engines made in the time that was measured.
+    # Tokens that the engines generated during the measurement.
     n_tokens_in_window: int
 
 
@@ -73,7 +73,7 @@
     """The processes of one run."""
 
     def __init__(
-        self, load: Load, policy: str, faults: str, started: processes.Processes
+        self, load: Workload, policy: str, faults: str, started: processes.Processes
     ) -> None:
         self.load = load
         self._policy = policy
@@ -97,11 +97,13 @@
         if self._faults == SLOW_ENGINE:
             self._control(2, slowness=SLOWNESS)
         trainers = [self._start_trainer(name) for name in self.load.trainers]
-        lost_at = self._break_things() if self._faults == FAULTS else 0.0
+        lost_at = self._inject_faults() if self._faults == FAULTS else 0.0
         for trainer in trainers:
             code = trainer.popen.wait(START_SECONDS + 4 * self.load.measure_seconds)
             if code != 0:
-                raise SystemExit(f"trainer ended with {code}:\n{trainer.log_tail()}")
+                raise SystemExit(
+                    f"trainer exit code {code}, expected 0:\n{trainer.log_tail()}"
+                )
         return self._collect(lost_at)
 
     def _gateways(self) -> list[str]:
@@ -127,7 +129,8 @@
                     "data_folder": str(self._folder / f"gw-{i}-data"),
                 },
                 "gateway": {"http_address": self._http[i]},
-                # The plain policy sends everything at once.
+                # The plain policy sends all attempts at once, which must not be
+                # refused.
                 "requests": {"max_queue_per_caller": 4096},
                 "samples": {"second_attempt_budget": self.load.second_attempt_budget},
             }
@@ -137,8 +140,8 @@
         for i, address in enumerate(self._http):
             self._processes.wait_until_ready(f"gw-{i}", address, "/healthz")
 
-    def _ask(self, method: str, path: str, value: Any = None) -> Any:
-        """Ask the first daemon until it answers well."""
+    def _request_until_done(self, method: str, path: str, value: Any = None) -> Any:
+        """Retry a request to the first daemon until it succeeds."""
         deadline = time.monotonic() + START_SECONDS
         answer = None
         while time.monotonic() < deadline:
@@ -156,7 +159,9 @@
             except urllib3.exceptions.HTTPError:
                 pass
             time.sleep(0.1)
-        raise SystemExit(f"{path}: {answer and answer.data!r}")
+        raise SystemExit(
+            f"{path} did not succeed; last answer: {answer and answer.data!r}"
+        )
 
     def _roll_bundle(self) -> None:
         trainers = {
@@ -175,9 +180,11 @@
             "trainers": trainers,
         }
         sent = {"content": yaml.safe_dump(bundle), "file_name": "bundle.yaml"}
-        digest = self._ask("POST", "/v1/bundles", sent)["digest"]
+        digest = self._request_until_done("POST", "/v1/bundles", sent)["digest"]
         for verb in ("sign-off", "roll"):
-            self._ask("POST", f"/v1/bundles/1/{verb}", {"digest": digest})
+            self._request_until_done(
+                "POST", f"/v1/bundles/1/{verb}", {"digest": digest}
+            )
         for i, address in enumerate(self._http):
             self._processes.wait_until_ready(f"gw-{i}", address)
 
@@ -211,14 +218,17 @@
             )
         n_upstreams = N_ENGINES + N_SCORERS
         processes.wait_for(
-            lambda: len(self._ask("GET", "/v1/upstreams")["upstreams"]) == n_upstreams,
+            lambda: (
+                len(self._request_until_done("GET", "/v1/upstreams")["upstreams"])
+                == n_upstreams
+            ),
             START_SECONDS,
             "upstreams",
         )
 
-    def _start(self, name: str, module: str, address: str, *words: str) -> None:
+    def _start(self, name: str, module: str, address: str, *arguments: str) -> None:
         port = address.rpartition(":")[2]
-        self._processes.start_module(name, module, "--port", port, *words)
+        self._processes.start_module(name, module, "--port", port, *arguments)
 
     def _journal(self, i: int) -> str:
         return str(self._folder / f"engine-{i}.journal")
@@ -242,8 +252,8 @@
             *self._gateways(),
         )
 
-    def _break_things(self) -> float:
-        """Have one swap fail and lose one engine, in the middle of the measurement."""
+    def _inject_faults(self) -> float:
+        """Let one swap fail and kill one engine, in the middle of the measurement."""
         journals = [self._folder / f"{name}.journal" for name in self.load.trainers]
 
         def is_warm() -> bool:
@@ -277,8 +287,8 @@
                 sample_id = event["id"].partition("#")[0]
                 if sample_id in made:
                     made[sample_id] += sum(segment[2] for segment in event["segments"])
-        # An engine that was killed noted nothing of its streams, whose first tokens may
-        # have been delivered.
+        # An engine that was killed has not written its last streams to the journal,
+        # although their first tokens may have been delivered.
         n_made = sum(max(made[each], delivered[each]) for each in delivered)
         paces = tuple(self._step_seconds(i) for i in range(N_ENGINES))
         began = min(report["began"] for report in reports)
@@ -291,9 +301,9 @@
         return Run(reports, n_made, n_delivered, lost_at, paces, n_in_window)
 
     def _n_tokens(self, i_engine: int, until: float) -> int:
-        """Return the tokens that an engine had made by then, to half a second."""
-        notes = journal.read(pathlib.Path(self._journal(i_engine)), "pace")
-        counts = [note["n_tokens"] for note in notes if note["time"] <= until]
+        """Return the tokens an engine had generated by `until`, accurate to 0.5 s."""
+        pace_events = journal.read(pathlib.Path(self._journal(i_engine)), "pace")
+        counts = [note["n_tokens"] for note in pace_events if note["time"] <= until]
         return int(max(counts, default=0))
 
     def _step_seconds(self, i_engine: int) -> float:
--- a/misc/measures/sample_trainer.py
+++ b/misc/measures/sample_trainer.py
@@ -1,7 +1,7 @@
-"""A trainer that measures: how long it waits, and how old its samples are.
+"""A trainer that measures how long it waits and how stale its samples are.
 
-It works as the stand-in does, in a steady state: groups are asked for ahead for longer
-than is measured, so that neither the first nor the last step is among the figures.
+It works like the fake trainer, but in a steady state: it requests groups ahead until
+after the measurement, so that neither the first nor the last step is among the figures.
 """
 
 import argparse
@@ -20,7 +20,7 @@
 
 
 class MeasuringTrainer(trainer.Trainer):
-    """Trains, and notes each step after the warm-up."""
+    """Trains, and measures each step after the warm-up."""
 
     def run(self) -> dict[str, Any]:
         """Train; return the figures of the measured steps."""
@@ -54,7 +54,7 @@
         samples = self._read_step()
         idle = time.monotonic() - began
         self.n_steps += 1
-        # Asked for before training, so that engines have work meanwhile.
+        # Groups are requested before training, so that engines have work during it.
         self._ask_ahead()
         eventlet.sleep(self.options.step_seconds)
         if self.n_steps % self.options.publish_every == 0:
--- a/misc/measures/state_group.py
+++ b/misc/measures/state_group.py
@@ -1,4 +1,4 @@
-"""A state group of real processes, and a client of it in this one."""
+"""A state group of real processes, and a client of it in this process."""
 
 import pathlib
 import shutil
@@ -14,13 +14,13 @@
 
 
 class StateGroup:
-    """Processes p0, p1, ... each with a replica; all end with the block."""
+    """Processes p0, p1, ..., each with a replica; all are stopped on exit."""
 
     def __init__(self, n_members: int, snapshot_entries: int = 20_000) -> None:
         self.folder = pathlib.Path(tempfile.mkdtemp(prefix="state-group-"))
         self.processes = processes.Processes(self.folder)
         *ports, client_port, spare_port = loopback.free_ports(n_members + 2)
-        # For a process that joins later.
+        # Address of a process that may join later.
         self.spare_address = f"127.0.0.1:{spare_port}"
         self.members = [
             options.Member(f"p{i}", f"127.0.0.1:{port}") for i, port in enumerate(ports)
@@ -31,15 +31,15 @@
             peer_address=f"127.0.0.1:{client_port}",
             state=options.StateOptions(members=tuple(self.members)),
         )
-        self.carrier = transport.Transport(
+        self.peer_transport = transport.Transport(
             "client", self.client_options.group, self.client_options.peer_address
         )
-        self.client = remote.RemoteStateClient(self.client_options, self.carrier)
+        self.client = remote.RemoteStateClient(self.client_options, self.peer_transport)
 
     def __enter__(self) -> Self:
         for each in self.members:
             self.start(each.process_id)
-        self.carrier.start()
+        self.peer_transport.start()
         self.client.start()
         return self
 
@@ -50,7 +50,7 @@
         traceback: types.TracebackType | None,
     ) -> None:
         self.client.stop()
-        self.carrier.stop()
+        self.peer_transport.stop()
         self.processes.stop_all()
         shutil.rmtree(self.folder)
 
@@ -67,8 +67,8 @@
     def data(self, process_id: str) -> str:
         return str(self.folder / process_id)
 
-    def heal(self) -> None:
-        """Let every process run, and wait until the leader hears all."""
+    def restore(self) -> None:
+        """Resume or restart every process; wait until the leader reaches all."""
         for each in self.members:
             self.processes[each.process_id].thaw()
             if not self.processes[each.process_id].is_running():
@@ -100,10 +100,12 @@
         return [each for each in status.members if each.process_id != leader]
 
     def wait_for(self, condition: Any, timeout: float = 30.0) -> float:
-        """Wait until `condition` holds of the status; return the seconds taken."""
+        """Wait until the status fulfils `condition`; return the seconds taken."""
         start = time.monotonic()
         while not condition(self.status()):
             if time.monotonic() - start > timeout:
-                raise AssertionError(f"not within {timeout} s: {self.status()}")
+                raise AssertionError(
+                    f"condition not met within {timeout} s; status: {self.status()}"
+                )
             time.sleep(0.05)
         return time.monotonic() - start
--- a/misc/measures/state_process.py
+++ b/misc/measures/state_process.py
@@ -1,7 +1,7 @@
-"""A process that holds one replica and counts what `Add` commands say.
+"""Run one replica, whose state has a counter for each key of `Add` commands.
 
 Run as ``python -m misc.measures.state_process --process-id p0 --folder FOLDER --member
-p0=IP:port ...``; it ends on SIGTERM.
+p0=IP:port ...``; it exits on SIGTERM.
 """
 
 import argparse
@@ -66,7 +66,7 @@
 
 
 class CountingTransport(transport.Transport):
-    """A transport that writes down, once a second, how many bytes it has received."""
+    """A transport that writes its number of received bytes to a file once a second."""
 
     n_bytes = 0
 
@@ -78,7 +78,7 @@
         written = path.with_suffix(".new")
         while True:
             written.write_text(f"{self.n_bytes}")
-            # In one step: a reader could find the file empty while it is written.
+            # If the file were written in place, a reader could find it empty.
             written.replace(path)
             clock.sleep(1.0)
 
@@ -114,30 +114,30 @@
     parser.add_argument("--address", default="")
     parser.add_argument("--member", type=member, action="append", required=True)
     parser.add_argument("--snapshot-entries", type=int, default=20_000)
-    given = parser.parse_args()
+    parsed = parser.parse_args()
     eliot.to_file(sys.stdout)
     settings = options_for(
-        given.process_id,
-        given.member,
-        given.folder,
-        given.snapshot_entries,
-        given.address,
+        parsed.process_id,
+        parsed.member,
+        parsed.folder,
+        parsed.snapshot_entries,
+        parsed.address,
     )
-    carrier = CountingTransport(
+    peer_transport = CountingTransport(
         settings.process_id, settings.group, settings.peer_address
     )
-    carrier.start()
-    own = replica.Replica(settings, carrier)
-    own.start()
-    eventlet.spawn(carrier.report, pathlib.Path(f"{given.folder}.bytes"))
+    peer_transport.start()
+    own_replica = replica.Replica(settings, peer_transport)
+    own_replica.start()
+    eventlet.spawn(peer_transport.report, pathlib.Path(f"{parsed.folder}.bytes"))
     stopped = eventlet.event.Event()
     hub = eventlet.hubs.get_hub()
     signal.signal(
         signal.SIGTERM, lambda *_: hub.schedule_call_global(0, stopped.send, None)
     )
     stopped.wait()
-    own.stop()
-    carrier.stop()
+    own_replica.stop()
+    peer_transport.stop()
 
 
 if __name__ == "__main__":
--- a/tests/path_support.py
+++ b/tests/path_support.py
@@ -49,7 +49,9 @@
     @classmethod
     def look_up(cls, gateway, caller=andes.CALLER):
         headers = {"X-Caller": caller}
-        answer = cls.andes.ask(gateway, "GET", "/apps/schedule/windows?crew=a", headers)
+        answer = cls.andes.send_request(
+            gateway, "GET", "/apps/schedule/windows?crew=a", headers
+        )
         return answer.status if answer is not None else 0
 
     @classmethod
@@ -102,7 +104,7 @@
             "Idempotency-Key": booking_id,
         }
         body = {"booking_id": booking_id, "crew": "a", "window": "w"}
-        return self.andes.ask(
+        return self.andes.send_request(
             gateway, "POST", "/apps/schedule/bookings", headers, body, DEADLINE
         )
 
@@ -114,7 +116,7 @@
         """Return whether each gateway lists an upstream as available."""
         headers = self.andes.operator_headers()
         for gateway in self.gateways:
-            answer = self.andes.ask(gateway, "GET", "/v1/upstreams", headers)
+            answer = self.andes.send_request(gateway, "GET", "/v1/upstreams", headers)
             if answer is None or answer.status != 200:
                 return False
             listed = answer.json()["upstreams"]
@@ -142,7 +144,9 @@
 
         def post(path, value):
             return self.retry_until_answered(
-                lambda: self.andes.ask(gateway, "POST", trainer + path, {}, value, 10)
+                lambda: self.andes.send_request(
+                    gateway, "POST", trainer + path, {}, value, 10
+                )
             )
 
         opened = post("/readers", {})
@@ -167,7 +171,7 @@
                 f"{trainer}/batches?reader_epoch={epoch}&cursor={type(self).cursor}"
                 f"&n_samples={n_samples}&wait_seconds={wait_seconds}"
             )
-            return self.andes.ask(gateway, "GET", path, {}, timeout=10)
+            return self.andes.send_request(gateway, "GET", path, {}, timeout=10)
 
         def is_complete():
             answer = read(n_slots, 2)
--- a/tests/test_demo_figures.py
+++ b/tests/test_demo_figures.py
@@ -1,4 +1,4 @@
-"""The demo's own checks: a run in which something did not hold must not pass."""
+"""The demo's checks: a run that violates a condition must not pass."""
 
 import json
 import pathlib
@@ -16,7 +16,7 @@
 
 
 def make_sample(slot=0, position=0, **changes):
-    """A true sample: two tokens of version 3, two of version 4."""
+    """Return a correct sample: two tokens of version 3, then two of version 4."""
     token_ids = [tokens.token_id(PROMPT, 3 + i // 2, i) for i in range(4)]
     sample = {
         "sample_id": f"outage/g1/{slot}",
@@ -42,7 +42,7 @@
     return {"weight_version": version, "first_token": first, "last_token": last}
 
 
-TRUE_IDS = make_sample()["token_ids"]
+CORRECT_IDS = make_sample()["token_ids"]
 
 
 class AccountTest(unittest.TestCase):
@@ -50,7 +50,7 @@
         self.account = samples.Account("outage")
         self.account.ask(GROUP)
 
-    def test_true_samples_leave_all_zeros(self):
+    def test_correct_samples_leave_all_counts_zero(self):
         for slot in range(2):
             self.account.take(make_sample(slot, slot), published_version=5)
         report = self.account.report()
@@ -79,10 +79,16 @@
         self.assertEqual(1, self.account.report()["n_lost"])
 
     @tools.params(
-        ("a token lost", {"token_ids": TRUE_IDS[:3]}),
-        ("a token twice", {"token_ids": [*TRUE_IDS[:2], TRUE_IDS[1], TRUE_IDS[3]]}),
-        ("tokens swapped", {"token_ids": [TRUE_IDS[1], TRUE_IDS[0], *TRUE_IDS[2:]]}),
-        ("cut short", {"token_ids": TRUE_IDS[:2], "segments": [segment(3, 0, 1)]}),
+        ("a token lost", {"token_ids": CORRECT_IDS[:3]}),
+        (
+            "a token twice",
+            {"token_ids": [*CORRECT_IDS[:2], CORRECT_IDS[1], CORRECT_IDS[3]]},
+        ),
+        (
+            "tokens swapped",
+            {"token_ids": [CORRECT_IDS[1], CORRECT_IDS[0], *CORRECT_IDS[2:]]},
+        ),
+        ("cut short", {"token_ids": CORRECT_IDS[:2], "segments": [segment(3, 0, 1)]}),
         ("no tokens", {"token_ids": [], "segments": []}),
         ("a version too old", {"segments": [segment(3, 0, 2), segment(4, 3, 3)]}),
         ("one version for all", {"segments": [segment(4, 0, 3)]}),
@@ -90,17 +96,17 @@
         ("an overlap", {"segments": [segment(3, 0, 2), segment(4, 2, 3)]}),
         ("a segment too long", {"segments": [segment(3, 0, 1), segment(4, 2, 4)]}),
         ("another text", {"text": " 1 2 3 4"}),
-        ("another's score", {"score": 2.0}),
-        ("another's id", {"sample_id": "outage/g1/1"}),
+        ("another sample's score", {"score": 2.0}),
+        ("another sample's id", {"sample_id": "outage/g1/1"}),
         ("a group not asked for", {"group_id": "g2"}),
         ("a slot not asked for", {"slot": 2, "sample_id": "outage/g1/2"}),
     )
-    def test_untrue_sample_is_untraceable(self, what, changes):
+    def test_wrong_sample_is_untraceable(self, what, changes):
         self.account.take(make_sample(**changes), published_version=5)
         self.assertEqual(1, self.account.report()["n_untraceable"], what)
 
-    def test_sample_with_an_end_may_be_short(self):
-        short = [*TRUE_IDS[:2], tokens.END_TOKEN_ID]
+    def test_sample_with_end_token_may_be_short(self):
+        short = [*CORRECT_IDS[:2], tokens.END_TOKEN_ID]
         segments = [segment(3, 0, 1), segment(4, 2, 2)]
         self.account.take(
             make_sample(token_ids=short, segments=segments), published_version=5
@@ -135,8 +141,13 @@
 
     @tools.params(
         ("all well", ["a", "b"], {"a": "booked", "b": "booked"}, (0, 0, 0)),
-        ("twice, at two processes", ["a", "a"], {"a": "booked"}, (1, 0, 0)),
-        ("twice, the planner unsure", ["a", "b", "a"], {"a": "unknown"}, (1, 0, 0)),
+        ("run twice, at two processes", ["a", "a"], {"a": "booked"}, (1, 0, 0)),
+        (
+            "run twice, outcome unknown to the planner",
+            ["a", "b", "a"],
+            {"a": "unknown"},
+            (1, 0, 0),
+        ),
         ("confirmed, not run", ["b"], {"a": "booked"}, (0, 1, 0)),
         ("refused, but run", ["a"], {"a": "given-up"}, (0, 0, 1)),
         ("refused, not run", [], {"a": "given-up"}, (0, 0, 0)),
@@ -171,33 +182,47 @@
         {"bookings": {"n_confirmed_not_run": 1}},
         {"bookings": {"n_refused_but_run": 1}},
         {"bookings": {"n_confirmed": 0}},
-        {"reverts": ["gw-ate acted on a bundle before 2"]},
+        {"reverts": ["gw-ate applied a bundle older than 2"]},
     )
-    def test_run_in_which_something_did_not_hold_fails(self, changes):
+    def test_run_that_violates_one_condition_fails(self, changes):
         self.assertEqual(1, len(self.breaches(**changes)))
 
 
-class FewDaemons:
-    """Stands for a deployment of which only the gateways' names matter."""
+class FakeDeployment:
+    """A deployment of which only the gateways' names are used."""
 
     daemons_by_id = {"gw-1": None}
 
 
 class ProbeTest(unittest.TestCase):
     @tools.params(
-        ("before it was seen or reported", None, None, 100.0, 100.1, False),
-        ("sent after this gateway acted on it", 99.0, None, 100.0, 100.1, True),
-        ("sent after it was reported", None, 99.0, 100.0, 100.1, True),
-        ("under way while it was reported", None, 100.05, 100.0, 100.1, False),
-        ("held by a frozen gateway", None, 100.05, 100.0, 109.0, True),
+        ("before the newer one was seen or reported", None, None, 100.0, 100.1, False),
+        (
+            "sent after this gateway applied the newer one",
+            99.0,
+            None,
+            100.0,
+            100.1,
+            True,
+        ),
+        ("sent after the newer one was reported", None, 99.0, 100.0, 100.1, True),
+        (
+            "in flight when the newer one was reported",
+            None,
+            100.05,
+            100.0,
+            100.1,
+            False,
+        ),
+        ("answered by a gateway that was frozen", None, 100.05, 100.0, 109.0, True),
     )
-    def test_older_bundle_after_the_newer_held_is_a_revert(
+    def test_older_bundle_after_newer_was_in_force_is_a_revert(
         self, what, seen, reported, sent, received, is_revert
     ):
-        watched = probe.Probe(FewDaemons())
+        gateway_probe = probe.Probe(FakeDeployment())
         if seen is not None:
-            watched.seen_by_version[2] = {"gw-1": seen}
+            gateway_probe.seen_by_version[2] = {"gw-1": seen}
         if reported is not None:
-            watched.report(andes.Rolled(2, "", 98.0, reported))
-        watched._check_revert("gw-1", 2, sent, received)
-        self.assertEqual(is_revert, bool(watched.reverts), what)
+            gateway_probe.report(andes.RolledBundle(2, "", 98.0, reported))
+        gateway_probe._check_revert("gw-1", 2, sent, received)
+        self.assertEqual(is_revert, bool(gateway_probe.reverts), what)
--- a/tests/test_demo_process.py
+++ b/tests/test_demo_process.py
@@ -1,4 +1,4 @@
-"""The demo ends the processes that it started, also when it is interrupted."""
+"""The demo stops the processes that it started, also when it is interrupted."""
 
 import os
 import pathlib
@@ -20,14 +20,14 @@
 DEADLINE = 90.0
 
 
-def pids_that_name(text):
-    """Return the ids of the processes whose command line holds a text."""
+def pids_with_argument_containing(text):
+    """Return the ids of the processes that have an argument containing `text`."""
     pids = []
     for path in pathlib.Path("/proc").glob("[0-9]*/cmdline"):
         try:
             words = path.read_bytes().split(b"\0")
         except OSError:
-            # It ended meanwhile.
+            # The process exited meanwhile.
             continue
         if any(text.encode() in word for word in words):
             pids.append(int(path.parent.name))
@@ -37,10 +37,11 @@
 class InterruptTest(unittest.TestCase):
     @tools.params(signal.SIGINT, signal.SIGTERM)
     def test_interrupted_demo_leaves_no_process_behind(self, number):
-        """The demo is told to end while its processes start, and again meanwhile.
+        """Guards against processes that keep running after an interrupted demo.
 
-        Each process names the demo's folder in its command line, so what is left
-        over can be seen. The second signal must not break off the ending.
+        The demo gets a signal while its processes start, and a second one while it
+        stops them, which must not abort the stopping. Every process has the demo's
+        folder in its command line, by which those that are left over are found.
         """
         with tempfile.TemporaryDirectory() as folder:
             run = pathlib.Path(folder) / "run"
@@ -51,30 +52,31 @@
 
                 def are_started():
                     self.assertTrue(demo.is_running(), demo.log_tail())
-                    return len(pids_that_name(str(run))) >= 4
+                    return len(pids_with_argument_containing(str(run))) >= 4
 
                 processes.wait_for(are_started, DEADLINE, "daemons")
                 demo.send(number)
                 demo.send(number)
                 code = demo.popen.wait(DEADLINE)
             self.assertEqual(128 + number, code, demo.log_tail())
-            self.assertEqual([], pids_that_name(str(run)))
+            self.assertEqual([], pids_with_argument_containing(str(run)))
 
     def test_interrupted_between_start_and_entry(self):
-        """The signal comes when a process has just been started.
+        """Guards against losing a process that was started during the signal.
 
-        Its entry is not made yet, so whoever ends all processes by their entries would
-        leave it behind. Lines of a test that failed once: one daemon of four was left.
+        The signal arrives after a process was started and before it is recorded. If the
+        exit were not deferred, the process would keep running, because only recorded
+        processes are stopped; one daemon of four was left running that way.
         """
         ending = (signal.SIGINT, signal.SIGTERM, signal.SIGHUP)
         handlers = {each: signal.getsignal(each) for each in ending}
         start = subprocess.Popen
-        begun = []
+        spawned = []
 
         def start_and_interrupt(*arguments, **options):
-            begun.append(start(*arguments, **options))
+            spawned.append(start(*arguments, **options))
             os.kill(os.getpid(), signal.SIGTERM)
-            return begun[0]
+            return spawned[0]
 
         try:
             processes.exit_on_signals()
@@ -90,7 +92,7 @@
         finally:
             for each, handler in handlers.items():
                 signal.signal(each, handler)
-        left = begun[0].poll() is None
-        begun[0].kill()
-        begun[0].wait()
-        self.assertFalse(left, "the process was left behind")
+        left = spawned[0].poll() is None
+        spawned[0].kill()
+        spawned[0].wait()
+        self.assertFalse(left, "the process is still running")
--- a/tests/test_path_losses.py
+++ b/tests/test_path_losses.py
@@ -113,7 +113,7 @@
         headers = self.andes.operator_headers()
 
         def post(suffix, value):
-            answer = self.andes.ask(
+            answer = self.andes.send_request(
                 gateway, "POST", f"/v1/bundles{suffix}", headers, value, timeout=20
             )
             self.assertIn(answer.status, (200, 201, 202), answer.data)
--- a/tests/test_requests_processes.py
+++ b/tests/test_requests_processes.py
@@ -23,17 +23,17 @@
             processes.Processes(pathlib.Path(folder)) as started,
         ):
             site = request_site.Site(started, 1, event_seconds=0.02)
-            site.start(n_places=8, service_seconds=0.1)
+            site.start(max_concurrency=8, service_seconds=0.1)
             answers = []
 
-            def ask(path, *arguments, **options):
+            def run_callers(path, *arguments, **options):
                 answers.append(
-                    site.ask(
+                    site.run_callers(
                         site.gateway,
                         path,
                         *arguments,
                         seconds=60.0,
-                        leaves=True,
+                        leaves_when_told=True,
                         warm_seconds=0.0,
                         **options,
                     )
@@ -41,12 +41,12 @@
 
             callers = [
                 threading.Thread(
-                    target=ask,
+                    target=run_callers,
                     args=("/v1/completions", "POST", request_site.COMPLETION),
                     kwargs={"headers": ("X-Caller: desk",)},
                 ),
                 threading.Thread(
-                    target=ask,
+                    target=run_callers,
                     args=("/apps/slow/x",),
                     kwargs={"headers": ("X-Caller: busy",), "n_connections": 16},
                 ),
--- a/tests/test_state_group.py
+++ b/tests/test_state_group.py
@@ -33,7 +33,7 @@
 
     def setUp(self) -> None:
         self.key = self.id()
-        self.group.heal()
+        self.group.restore()
 
     def add(self) -> int:
         return self.group.add(self.key)
@@ -78,7 +78,7 @@
         self.assertEqual(self.read(), 31)
         for each in group.members:
             group.processes[each.process_id].kill()
-        group.heal()
+        group.restore()
         self.assertEqual(self.read(), 31)
         saved = group.client.query(queries.SaveState()).unwrap().data
         state = snapshot.decode(saved)
