--- a/bilberrydrum/bundles/grants.py
+++ b/bilberrydrum/bundles/grants.py
@@ -168,8 +168,8 @@
             eventlet.spawn(self._propose, effect.command)
             return
         # The process may have been suspended since leadership was last checked, and
-        # another replica may lead now. This one must not send on behalf of the state
-        # group any more.
+        # another replica may lead now. In that case this one must not send on behalf of
+        # the state group.
         leadership = self._replica.leadership()
         if leadership is not None and leadership.term == self._term:
             self._transport.send(effect.address, effect.message)
--- a/bilberrydrum/bundles/model.py
+++ b/bilberrydrum/bundles/model.py
@@ -72,7 +72,7 @@
 
 @attrs.frozen
 class Bundle:
-    """The whole configuration of a deployment."""
+    """The complete configuration of a deployment."""
 
     version: int
     parent: int
--- a/bilberrydrum/fleet/bootstrap.py
+++ b/bilberrydrum/fleet/bootstrap.py
@@ -3,7 +3,8 @@
 The replicas are spread over the availability zones. The loss of one zone must leave a
 majority of the replicas, and a leader that is partitioned from the other zones must
 lose its majority, so that a new leader is elected where the gateways and engines are.
-Chosen in the order of their addresses, all five replicas were in one of five zones.
+If they were chosen in the order of their addresses, all five replicas could be in one
+of five zones.
 """
 
 from collections.abc import Collection, Mapping
--- a/bilberrydrum/fleet/changes.py
+++ b/bilberrydrum/fleet/changes.py
@@ -1,10 +1,10 @@
 """Differences between two states of the registry.
 
 The registry grows with the fleet, and every load of weights, start and departure of an
-upstream changes one entry of it. When the complete registry was sent to every process
-at each change, it made up most of the traffic of the control group's leader: 1.4 MB/s
-to 93 processes at four changes a second. A process that has an earlier state therefore
-gets only the difference.
+upstream changes one entry of it. If the complete registry were sent to every process at
+each change, it would make up most of the traffic of the control group's leader: 1.4
+MB/s to 93 processes at four changes a second. A process that has an earlier state
+therefore gets only the difference.
 """
 
 from collections.abc import Mapping
--- a/bilberrydrum/fleet/commands.py
+++ b/bilberrydrum/fleet/commands.py
@@ -54,38 +54,38 @@
             self.founder_addresses,
         )
 
-    def is_store_recorded(self, given: "PutStore") -> bool:
-        """Return whether a store is recorded with the values of `given`."""
-        known = self.stores_by_name.get(given.name)
+    def is_store_recorded(self, command: "PutStore") -> bool:
+        """Return whether a store is recorded with the values of `command`."""
+        known = self.stores_by_name.get(command.name)
         return known is not None and (
             (known.address, known.availability_zone)
-            == (given.address, given.availability_zone)
+            == (command.address, command.availability_zone)
         )
 
-    def assess(self, given: model.FleetUpstream) -> incarnations.Assessment:
+    def assess(self, announced: model.FleetUpstream) -> incarnations.Assessment:
         """Return whether to accept an announcement, and which upstreams it replaces."""
-        former = self.formers_by_announced_id.get(given.announced_id)
-        known = self.upstreams_by_id.get(given.upstream_id)
+        former = self.formers_by_announced_id.get(announced.announced_id)
+        known = self.upstreams_by_id.get(announced.upstream_id)
         others: Iterable[model.FleetUpstream] = self.upstreams_by_id.values()
-        if known is not None and known.address == given.address:
+        if known is not None and known.address == announced.address:
             # Upstreams with the same id or address were removed when this one was
             # registered. So no announcement of a load of weights needs a search through
             # the complete fleet.
             others = (known,)
-        return incarnations.assess(given, others, former)
+        return incarnations.assess(announced, others, former)
 
-    def names_unknown_service(self, given: model.FleetUpstream) -> bool:
-        """Return whether `given` has a service that the policy does not define.
+    def names_unknown_service(self, announced: model.FleetUpstream) -> bool:
+        """Return whether `announced` has a service that the policy does not define.
 
         Such an upstream must not be registered, as it could replace one that is in use.
         Before the first policy no service is known, and all are accepted.
         """
-        known = self.upstreams_by_id.get(given.upstream_id)
+        known = self.upstreams_by_id.get(announced.upstream_id)
         if not self.policy.version or (
-            known is not None and known.service == given.service
+            known is not None and known.service == announced.service
         ):
             return False
-        return all(each.name != given.service for each in self.policy.services)
+        return all(each.name != announced.service for each in self.policy.services)
 
     def is_departure_known(self, announced_id: str, started_at_ms: int | None) -> bool:
         """Return whether a departure is recorded, or is of an earlier incarnation.
@@ -244,7 +244,7 @@
     is_change: bool = True
 
 
-def _touch(section: Section, context: machine.Context) -> Applied:
+def _mark_changed(section: Section, context: machine.Context) -> Applied:
     section.registry_index = context.index
     return Applied()
 
@@ -268,37 +268,37 @@
     section = section_of(state)
     if not _put(section, command.upstream, command.is_established, context):
         return Applied(False)
-    return _touch(section, context)
+    return _mark_changed(section, context)
 
 
 @machine.apply.register
 def _(command: PutUpstreams, state: machine.State, context: machine.Context) -> Applied:
     section = section_of(state)
     n_put = sum(_put(section, each, False, context) for each in command.upstreams)
-    return _touch(section, context) if n_put else Applied(False)
+    return _mark_changed(section, context) if n_put else Applied(False)
 
 
 def _put(
     section: Section,
-    given: model.FleetUpstream,
+    announced: model.FleetUpstream,
     is_established: bool,
     context: machine.Context,
 ) -> bool:
     """Register an upstream if its announcement is accepted; return whether it was."""
-    assessment = section.assess(given)
+    assessment = section.assess(announced)
     is_unconfirmed = assessment.decision is incarnations.Decision.UNCONFIRMED
     is_confirmed = is_unconfirmed and is_established
     if assessment.decision is not incarnations.Decision.ACCEPTED and not is_confirmed:
         return False
-    known = section.upstreams_by_id.get(given.upstream_id)
+    known = section.upstreams_by_id.get(announced.upstream_id)
     for upstream_id in assessment.replaced_ids:
         section.remove_upstream(upstream_id, context.time)
-    section.formers_by_announced_id.pop(given.announced_id, None)
+    section.formers_by_announced_id.pop(announced.announced_id, None)
     if known is not None and known.is_leaving:
         # An upstream that has announced that it is leaving stays so, even if an earlier
         # announcement arrives late.
-        given = attrs.evolve(given, is_leaving=True)
-    section.upstreams_by_id[given.upstream_id] = given
+        announced = attrs.evolve(announced, is_leaving=True)
+    section.upstreams_by_id[announced.upstream_id] = announced
     return True
 
 
@@ -310,7 +310,7 @@
     for upstream_id in command.upstream_ids:
         section.remove_upstream(upstream_id, context.time)
     section.prune_formers(context.time)
-    return _touch(section, context)
+    return _mark_changed(section, context)
 
 
 @machine.apply.register
@@ -330,7 +330,7 @@
         started_at_ms, 0, True, context.time
     )
     section.prune_formers(context.time)
-    return _touch(section, context)
+    return _mark_changed(section, context)
 
 
 @machine.apply.register
@@ -341,7 +341,7 @@
         if known is not None:
             silent = attrs.evolve(known, is_silent=True)
             section.upstreams_by_id[upstream_id] = silent
-    return _touch(section, context)
+    return _mark_changed(section, context)
 
 
 @machine.apply.register
@@ -352,7 +352,7 @@
     if section.versions_by_model.get(command.model, -1) >= command.version:
         return Applied(False)
     section.versions_by_model[command.model] = command.version
-    return _touch(section, context)
+    return _mark_changed(section, context)
 
 
 @machine.apply.register
@@ -363,7 +363,7 @@
     section.stores_by_name[command.name] = model.Store(
         command.name, command.address, availability_zone=command.availability_zone
     )
-    return _touch(section, context)
+    return _mark_changed(section, context)
 
 
 @machine.apply.register
@@ -374,7 +374,7 @@
     if section.founder_addresses:
         return Applied(False)
     section.founder_addresses = command.addresses
-    return _touch(section, context)
+    return _mark_changed(section, context)
 
 
 @machine.apply.register
@@ -385,4 +385,4 @@
         return Applied(False)
     retiring = attrs.evolve(known, retiring_index=context.index)
     section.stores_by_name[command.name] = retiring
-    return _touch(section, context)
+    return _mark_changed(section, context)
--- a/bilberrydrum/fleet/control.py
+++ b/bilberrydrum/fleet/control.py
@@ -130,54 +130,56 @@
 
     def _on_announce(self, sender: transport.Sender, message: messages.Announce) -> Any:
         self._reset_for_new_term()
-        given = message.upstream
+        announced = message.upstream
         section = self._section()
-        known = section.upstreams_by_id.get(given.upstream_id)
-        if section.names_unknown_service(given):
-            return self._reject_announcement(given, "the policy has no such service")
+        known = section.upstreams_by_id.get(announced.upstream_id)
+        if section.names_unknown_service(announced):
+            return self._reject_announcement(
+                announced, "the policy has no such service"
+            )
         if known is not None:
-            if not self._liveness.record_announcement(given, clock.now()):
+            if not self._liveness.record_announcement(announced, clock.now()):
                 return messages.Done()
-            if _is_unchanged(known, given):
+            if _is_unchanged(known, announced):
                 return messages.Done()
-            if _changes_loads_only(known, given):
+            if _changes_loads_only(known, announced):
                 # If this leader is lost before the commit, the upstream's next
                 # announcement brings the versions again.
-                self._pending_loads_by_id[given.upstream_id] = given
+                self._pending_loads_by_id[announced.upstream_id] = announced
                 return messages.Done()
-        assessment = section.assess(given)
+        assessment = section.assess(announced)
         decision = assessment.decision
         if decision is incarnations.Decision.STALE:
             return messages.Done()
         if decision is incarnations.Decision.INCOMPLETE:
-            return self._reject_announcement(given, "its start time is missing")
+            return self._reject_announcement(announced, "its start time is missing")
         is_unconfirmed = decision is incarnations.Decision.UNCONFIRMED
         if is_unconfirmed and not self._liveness.is_established(
-            given, assessment.replaced_ids, clock.now()
+            announced, assessment.replaced_ids, clock.now()
         ):
             return self._reject_announcement(
-                given, "another incarnation has replaced it"
+                announced, "another incarnation has replaced it"
             )
-        return self._put(given, known, assessment, is_unconfirmed)
+        return self._put(announced, known, assessment, is_unconfirmed)
 
     def _put(
         self,
-        given: model.FleetUpstream,
+        announced: model.FleetUpstream,
         known: model.FleetUpstream | None,
         assessment: incarnations.Assessment,
         is_established: bool,
     ) -> Any:
         # Recorded before the commit, as a sweep in between would mark it as silent.
-        self._liveness.record_announcement(given, clock.now())
-        is_committed = self._commit(commands.PutUpstream(given, is_established))
+        self._liveness.record_announcement(announced, clock.now())
+        is_committed = self._commit(commands.PutUpstream(announced, is_established))
         eliot.log_message(
             message_type="upstreams:announced",
-            upstream_id=given.upstream_id,
-            service=given.service,
-            address=given.address,
-            is_leaving=given.is_leaving,
-            versions_by_model=given.versions_by_model,
-            sequence=given.sequence,
+            upstream_id=announced.upstream_id,
+            service=announced.service,
+            address=announced.address,
+            is_leaving=announced.is_leaving,
+            versions_by_model=announced.versions_by_model,
+            sequence=announced.sequence,
             sequence_before=known.sequence if known is not None else None,
             decision=assessment.decision.value,
             replaced_ids=assessment.replaced_ids,
@@ -211,16 +213,16 @@
         )
 
     def _reject_announcement(
-        self, given: model.FleetUpstream, why: str
+        self, announced: model.FleetUpstream, why: str
     ) -> messages.AnnouncementRejected:
         n_before = self._rejection_lines.admit(clock.now())
         if n_before is not None:
             eliot.log_message(
                 message_type="upstreams:announcement-rejected",
-                upstream_id=given.upstream_id,
-                service=given.service,
-                address=given.address,
-                sequence=given.sequence,
+                upstream_id=announced.upstream_id,
+                service=announced.service,
+                address=announced.address,
+                sequence=announced.sequence,
                 why=why,
                 n_not_logged=n_before,
             )
@@ -404,14 +406,18 @@
     return bool(feed.policy or feed.registry or feed.registry_change or feed.crashes)
 
 
-def _changes_loads_only(known: model.FleetUpstream, given: model.FleetUpstream) -> bool:
+def _changes_loads_only(
+    known: model.FleetUpstream, announced: model.FleetUpstream
+) -> bool:
     """Return whether nothing but the loaded weight versions differs."""
-    same = attrs.evolve(given, versions_by_model=known.versions_by_model)
+    same = attrs.evolve(announced, versions_by_model=known.versions_by_model)
     return _is_unchanged(known, same)
 
 
-def _is_unchanged(known: model.FleetUpstream, given: model.FleetUpstream) -> bool:
-    same = attrs.evolve(given, sequence=known.sequence, cold_seconds=known.cold_seconds)
+def _is_unchanged(known: model.FleetUpstream, announced: model.FleetUpstream) -> bool:
+    same = attrs.evolve(
+        announced, sequence=known.sequence, cold_seconds=known.cold_seconds
+    )
     if known.is_leaving:
         same = attrs.evolve(same, is_leaving=True)
     return same == known
--- a/bilberrydrum/fleet/feeds.py
+++ b/bilberrydrum/fleet/feeds.py
@@ -76,7 +76,7 @@
     def _encode(self, key: tuple[str, int, int], make: Callable[[], object]) -> bytes:
         if key not in self._encoded_by_key:
             kind, _, index = key
-            # Drop encoded parts for older states: they are not sent any more.
+            # Drop encoded parts for older states, which are no longer sent.
             self._encoded_by_key = {
                 k: v
                 for k, v in self._encoded_by_key.items()
--- a/bilberrydrum/fleet/incarnations.py
+++ b/bilberrydrum/fleet/incarnations.py
@@ -57,90 +57,95 @@
     # When it was removed, in seconds of the log's time.
     at: float
 
-    def is_followed_by(self, given: model.FleetUpstream) -> bool:
-        """Return whether `given` may be newer than this one's last announcement."""
-        order = compare_starts(given.started_at_ms, self.started_at_ms)
+    def is_followed_by(self, announced: model.FleetUpstream) -> bool:
+        """Return whether `announced` may be newer than this one's last announcement."""
+        order = compare_starts(announced.started_at_ms, self.started_at_ms)
         if order != 0:
             return True
-        return not self.has_left and given.sequence > self.sequence
+        return not self.has_left and announced.sequence > self.sequence
 
 
-def compare_starts(given: int | None, known: int | None) -> int:
-    """Return 1 if `given` is the later start, 0 if it is the same, else -1.
+def compare_starts(started: int | None, known: int | None) -> int:
+    """Return 1 if `started` is the later start, 0 if it is the same, else -1.
 
     A missing start time counts as the earlier one, so an announcement without it never
     replaces an incarnation that has one.
     """
-    if given == known:
+    if started == known:
         return 0
-    if given is None:
+    if started is None:
         return -1
-    return 1 if known is None or given > known else -1
+    return 1 if known is None or started > known else -1
 
 
 def assess(
-    given: model.FleetUpstream,
+    announced: model.FleetUpstream,
     upstreams: Iterable[model.FleetUpstream],
     former: FormerIncarnation | None,
 ) -> Assessment:
-    """Decide whether `given` is accepted in view of the registered `upstreams`.
+    """Decide whether `announced` is accepted in view of the registered `upstreams`.
 
     Parameters
     ----------
-    former : Former or None
+    former : FormerIncarnation or None
         The last removed incarnation with the same id.
     """
     known, holders = None, []
     for each in upstreams:
-        if each.upstream_id == given.upstream_id:
+        if each.upstream_id == announced.upstream_id:
             known = each
-        elif each.announced_id == given.announced_id or each.address == given.address:
+        elif (
+            each.announced_id == announced.announced_id
+            or each.address == announced.address
+        ):
             holders.append(each)
-    if _lacks_start(given, holders, former):
+    if _lacks_start(announced, holders, former):
         return Assessment(Decision.INCOMPLETE)
-    if known is not None and given.sequence < known.sequence:
+    if known is not None and announced.sequence < known.sequence:
         return Assessment(Decision.STALE)
-    if known is None and former is not None and not former.is_followed_by(given):
+    if known is None and former is not None and not former.is_followed_by(announced):
         return Assessment(Decision.STALE)
     replaced_ids = tuple(each.upstream_id for each in holders)
-    if _is_earlier(given, former) or any(
-        _may_be_older(given, each, former) for each in holders
+    if _is_earlier(announced, former) or any(
+        _may_be_older(announced, each, former) for each in holders
     ):
         return Assessment(Decision.UNCONFIRMED, replaced_ids)
     return Assessment(Decision.ACCEPTED, replaced_ids)
 
 
 def _lacks_start(
-    given: model.FleetUpstream,
+    announced: model.FleetUpstream,
     holders: Iterable[model.FleetUpstream],
     former: FormerIncarnation | None,
 ) -> bool:
-    if given.started_at_ms is not None:
+    if announced.started_at_ms is not None:
         return False
     if former is not None and former.started_at_ms is not None:
         return True
     return any(
-        each.announced_id == given.announced_id and each.started_at_ms is not None
+        each.announced_id == announced.announced_id and each.started_at_ms is not None
         for each in holders
     )
 
 
-def _is_earlier(given: model.FleetUpstream, former: FormerIncarnation | None) -> bool:
+def _is_earlier(
+    announced: model.FleetUpstream, former: FormerIncarnation | None
+) -> bool:
     if former is None:
         return False
-    return compare_starts(given.started_at_ms, former.started_at_ms) < 0
+    return compare_starts(announced.started_at_ms, former.started_at_ms) < 0
 
 
 def _may_be_older(
-    given: model.FleetUpstream,
+    announced: model.FleetUpstream,
     holder: model.FleetUpstream,
     former: FormerIncarnation | None,
 ) -> bool:
-    """Return whether `given` may be older than `holder`, which it would replace."""
-    if given.announced_id == holder.announced_id:
-        return compare_starts(given.started_at_ms, holder.started_at_ms) < 0
-    if given.started_at_ms is not None and holder.started_at_ms is not None:
-        return given.started_at_ms < holder.started_at_ms
+    """Return whether `announced` may be older than `holder`, which it would replace."""
+    if announced.announced_id == holder.announced_id:
+        return compare_starts(announced.started_at_ms, holder.started_at_ms) < 0
+    if announced.started_at_ms is not None and holder.started_at_ms is not None:
+        return announced.started_at_ms < holder.started_at_ms
     # Without start times to compare, an upstream that was removed earlier is older than
     # the one that has its address now.
-    return former is not None and former.started_at_ms == given.started_at_ms
+    return former is not None and former.started_at_ms == announced.started_at_ms
--- a/bilberrydrum/fleet/policy_lease.py
+++ b/bilberrydrum/fleet/policy_lease.py
@@ -29,13 +29,13 @@
     # When the latest answered renewal was sent, in seconds of `clock.now`.
     confirmed_at: float = float("-inf")
 
-    def confirm(self, asked_at: float) -> None:
-        """Record the answer to a renewal that was sent at `asked_at`.
+    def confirm(self, sent_at: float) -> None:
+        """Record the answer to a renewal that was sent at `sent_at`.
 
         The lease starts when the renewal was sent, as the answer may have been delayed
         and a key revoked in the meantime.
         """
-        self.confirmed_at = max(self.confirmed_at, asked_at)
+        self.confirmed_at = max(self.confirmed_at, sent_at)
 
     def is_valid(self, now: float) -> bool:
         """Return whether keys may be checked by the policy here."""
--- a/bilberrydrum/fleet/registry_log.py
+++ b/bilberrydrum/fleet/registry_log.py
@@ -2,9 +2,9 @@
 
 The control group's leader makes the update for a process from this log alone: it holds
 the entries that changed after the index that the process has. So the cost depends on
-the number of changes, not on the number of processes or how far they are behind. When
-the leader compared the registry with each process's own state, changes of 3,000
-upstreams sent to 300 processes took nearly a core. The log starts with the leader's
+the number of changes, not on the number of processes or how far they are behind. If the
+leader compared the registry with each process's own state, sending the changes of 3,000
+upstreams to 300 processes would take nearly a core. The log starts with the leader's
 term, so a process with an earlier registry gets the complete one.
 
 Gateways route requests by an upstream's service, its address and whether it may be
--- a/bilberrydrum/fleet/store_calls.py
+++ b/bilberrydrum/fleet/store_calls.py
@@ -14,7 +14,7 @@
 
 # How long the leader waits after the first store has asked to bootstrap the group, in
 # seconds, so that it chooses among all stores that start with the deployment. They
-# start within 0.3 s of each other, and their requests arrive some 0.5 s later.
+# start within 0.3 s of each other, and their requests arrive about 0.5 s later.
 BOOTSTRAP_WAIT_SECONDS: Final = 1.5
 
 
@@ -34,7 +34,7 @@
         ----------
         n_voters : int
             Number of voting replicas of the stores' group.
-        led_seconds : callable
+        seconds_as_leader : callable
             Returns for how many seconds this replica has been the leader.
         """
         self._replica = replica_
--- a/bilberrydrum/fleet/subscriber.py
+++ b/bilberrydrum/fleet/subscriber.py
@@ -37,7 +37,7 @@
         calls: leader_calls.LeaderCalls,
         make_request: Callable[[], messages.Subscribe] = messages.Subscribe,
         revocation_seconds: float = 0.0,
-        on_answer: Callable[[messages.Feed, float], None] = lambda feed, asked_at: None,
+        on_answer: Callable[[messages.Feed, float], None] = lambda feed, sent_at: None,
     ) -> None:
         """Make the task; nothing runs before `start`.
 
@@ -87,13 +87,13 @@
         bool
             False if it has not confirmed it within `timeout` seconds.
         """
-        asked_at = clock.now()
+        called_at = clock.now()
         with eventlet.Timeout(timeout, False):
-            while self.policy_lease.confirmed_at < asked_at:
+            while self.policy_lease.confirmed_at < called_at:
                 if not self._renewal_requested.ready():
                     self._renewal_requested.send(None)
                 self._confirmed.wait()
-        return self.policy_lease.confirmed_at >= asked_at
+        return self.policy_lease.confirmed_at >= called_at
 
     def watch(self, callback: Callable[[], None]) -> None:
         """Call `callback()` after each change; it must not block."""
@@ -116,18 +116,18 @@
 
     def _run(self) -> None:
         while True:
-            asked_at = clock.now()
+            sent_at = clock.now()
             try:
                 self.renew()
             except Exception:
                 # If this task ended, this process would refuse all requests as soon as
                 # the lease of its policy expires.
                 eliot.write_traceback()
-            self._wait_for_renewal(asked_at)
+            self._wait_for_renewal(sent_at)
 
     def renew(self, timeout: float = _CALL_SECONDS) -> None:
         """Fetch changes from the leader and apply them."""
-        asked_at = clock.now()
+        sent_at = clock.now()
         request = attrs.evolve(
             self._make_request(),
             policy_index=self._policy_index,
@@ -139,16 +139,16 @@
         self._record_connection(answer.is_ok())
         if isinstance(answer, result.Ok):
             self._apply(answer.ok_value)
-            self._on_answer(answer.ok_value, asked_at)
-            self.policy_lease.confirm(asked_at)
+            self._on_answer(answer.ok_value, sent_at)
+            self.policy_lease.confirm(sent_at)
             self._confirmed.send(None)
             self._confirmed = eventlet.event.Event()
 
-    def _wait_for_renewal(self, asked_at: float) -> None:
+    def _wait_for_renewal(self, sent_at: float) -> None:
         with eventlet.Timeout(RENEW_SECONDS, False):
             self._renewal_requested.wait()
         self._renewal_requested = eventlet.event.Event()
-        clock.sleep(max(asked_at + _MIN_RENEW_SECONDS - clock.now(), 0.0))
+        clock.sleep(max(sent_at + _MIN_RENEW_SECONDS - clock.now(), 0.0))
 
     def _record_connection(self, is_connected: bool) -> None:
         if is_connected == self._is_connected:
@@ -236,10 +236,10 @@
         return None
 
 
-def _log_crashes(index: int, book: quarantine.CrashHistory) -> None:
+def _log_crashes(index: int, history: quarantine.CrashHistory) -> None:
     standings = {
         fingerprint: each.standing()
-        for fingerprint, each in book.evidence_by_fingerprint.items()
+        for fingerprint, each in history.evidence_by_fingerprint.items()
     }
     eliot.log_message(
         message_type="crashes:updated",
--- a/bilberrydrum/nodes/control.py
+++ b/bilberrydrum/nodes/control.py
@@ -61,7 +61,7 @@
         self.replica.learn(addresses)
 
     def stop(self) -> None:
-        """Stop all tasks; a leadership is handed over."""
+        """Stop all tasks; transfer the leadership if this process has it."""
         self.service.stop()
         self.replica.stop()
         self._link.carrier.stop()
--- a/bilberrydrum/nodes/gateway.py
+++ b/bilberrydrum/nodes/gateway.py
@@ -18,7 +18,7 @@
 from bilberrydrum.usage import meter as usage_meter
 
 # When clients should retry at a gateway without a policy, in seconds. If all processes
-# start together, gateways have a policy after some 1.5 s.
+# start together, gateways have a policy after about 1.5 s.
 NO_POLICY_RETRY_SECONDS: Final = 0.5
 # Timeout in seconds for a stopping gateway to send its last usage counts. It suffices
 # for calls to the leader and one other control process, and the gateway still stops
@@ -72,10 +72,10 @@
         snapshot = self._meter.snapshot() if self._meter is not None else None
         return messages.Subscribe(usage=snapshot)
 
-    def _on_answer(self, feed: messages.Feed, asked_at: float) -> None:
+    def _on_answer(self, feed: messages.Feed, sent_at: float) -> None:
         if self._meter is not None:
             self._meter.update(
-                feed.unix_time, asked_at, clock.now(), feed.usage_closed_before
+                feed.unix_time, sent_at, clock.now(), feed.usage_closed_before
             )
 
     def _on_registry_change(self) -> None:
--- a/bilberrydrum/nodes/groups.py
+++ b/bilberrydrum/nodes/groups.py
@@ -12,19 +12,19 @@
 # Maximum number of voters in the control group, unless tolerating the configured losses
 # takes more. Further voters would only make commits wait for more disks.
 MAX_CONTROL_VOTERS: Final = 5
-# With these values a lost leader is replaced within some 1.3 s, at a cost of 7
+# With these values a lost leader is replaced within about 1.3 s, at a cost of 7
 # heartbeats a second for each replica. A replica that starts joins no election for one
 # election timeout, as an earlier leader may still be running. So a restart of all
 # replicas waits for it too.
 HEARTBEAT_SECONDS: Final = 0.15
 ELECTION_TIMEOUT_SECONDS: Final = 0.6
-# Bound on the memory for the stores' log, which grows by some 150 KB a second while
+# Bound on the memory for the stores' log, which grows by about 150 KB a second while
 # batches run.
 _STORE_LOG_BYTES: Final = 8 * 1024 * 1024
-# State size above which a leader hands over before it takes a snapshot, in bytes. With
-# this value the stores' leader never does. A handover would cancel all running items,
-# which costs seconds, while the snapshot is fast, as nearly all of the state is byte
-# strings that are only copied.
+# State size, in bytes, above which a leader transfers the leadership before it makes a
+# snapshot. With this value the stores' leader never does. A transfer would cancel all
+# running items, which costs seconds, while the snapshot is fast, as nearly all of the
+# state is byte strings that are only copied.
 _STORE_HANDOVER_BYTES: Final = 1024 * 1024 * 1024
 _SNAPSHOT_ENTRIES: Final = 4_000
 
--- a/bilberrydrum/nodes/process.py
+++ b/bilberrydrum/nodes/process.py
@@ -25,7 +25,7 @@
 # after two failed readiness checks, one a second.
 BALANCER_SECONDS: Final = 2.3
 # Share of the shutdown time in which running requests may complete. The rest is for
-# handing over leaderships and closing connections.
+# transferring leaderships and closing connections.
 _DRAIN_SHARE: Final = 0.8
 
 
--- a/bilberrydrum/nodes/store.py
+++ b/bilberrydrum/nodes/store.py
@@ -143,7 +143,7 @@
         self._control.calls.learn(addresses)
 
     def stop(self) -> None:
-        """Stop all tasks; a leadership is handed over."""
+        """Stop all tasks; transfer the leadership if this process has it."""
         if self._starter is not None:
             self._starter.kill()
         if self.service is not None:
--- a/bilberrydrum/state/joining.py
+++ b/bilberrydrum/state/joining.py
@@ -15,8 +15,8 @@
 _NO_LEADER_SECONDS: Final = 3.0
 
 
-class Owner(Protocol):
-    """The part of the replica that this module uses."""
+class LocalReplica(Protocol):
+    """The part of this process's replica that this module uses."""
 
     @property
     def node(self) -> node.Node:
@@ -41,18 +41,18 @@
 
     def __init__(
         self,
-        owner: Owner,
+        replica: LocalReplica,
         opts: options.Options,
         carrier: transport.Transport,
         membership: membership_task.MembershipTask,
     ) -> None:
-        self._owner = owner
+        self._replica = replica
         self._options = opts
         self._carrier = carrier
         self._membership_task = membership
         self._bootstrap = bootstrap.Bootstrap(
             opts.process_id,
-            owner.node.replica_id,
+            replica.node.replica_id,
             opts.peer_address,
             opts.state.members,
             opts.state.may_found,
@@ -73,7 +73,7 @@
         A member without contact to a leader asks the others whether it was removed.
         """
         while True:
-            state = self._owner.node
+            state = self._replica.node
             if not state.members.replicas:
                 self._bootstrap_or_wait()
             elif isinstance(state.role, node.Leader):
@@ -85,12 +85,12 @@
     def _bootstrap_or_wait(self) -> None:
         first = self._bootstrap.first_membership()
         if first is not None:
-            self._owner.put(events.BootstrapGroup(first))
+            self._replica.put(events.BootstrapGroup(first))
             return
         self._probe_all(is_empty=True)
 
     def _probe_all(self, is_empty: bool) -> None:
-        state = self._owner.node
+        state = self._replica.node
         probe = messages.Probe(self._options.process_id, state.replica_id, is_empty)
         known = {each.peer_address for each in state.members.replicas}
         known.discard(self._options.peer_address)
@@ -98,9 +98,9 @@
             self._carrier.send(address, probe)
 
     def _on_probe(self, sender: transport.Sender, probe: messages.Probe) -> None:
-        if self._owner.failure:
+        if self._replica.failure:
             return
-        state = self._owner.node
+        state = self._replica.node
         reply = messages.ProbeReply(
             self._options.process_id,
             state.replica_id,
@@ -115,9 +115,9 @@
 
     def _has_removed(self, probe: messages.Probe) -> bool:
         """Return whether this leader's group has removed the requesting replica."""
-        if probe.is_empty or self._owner.leadership() is None:
+        if probe.is_empty or self._replica.leadership() is None:
             return False
-        state = self._owner.node
+        state = self._replica.node
         # An uncommitted change could still be overwritten by a later leader.
         is_settled = state.membership_index <= state.commit_index
         return is_settled and state.members.find(probe.replica_id) is None
@@ -128,6 +128,6 @@
         self._bootstrap.record_reply(reply)
         if reply.addresses:
             self._bootstrap.learn(reply.addresses)
-        is_for_this = reply.asked_by == self._owner.node.replica_id
-        if reply.has_removed_asker and is_for_this and not self._owner.failure:
-            self._owner.on_removed()
+        is_for_this = reply.asked_by == self._replica.node.replica_id
+        if reply.has_removed_asker and is_for_this and not self._replica.failure:
+            self._replica.on_removed()
--- a/bilberrydrum/state/leader.py
+++ b/bilberrydrum/state/leader.py
@@ -69,12 +69,12 @@
     Recently means within the election timeout.
     """
     since = state.now - state.settings.election_timeout
-    heard = {
+    answered_ids = {
         replica_id
         for replica_id, progress in role.progress_by_id.items()
         if progress.last_contact_at >= since
     }
-    return heard | {state.replica_id}
+    return answered_ids | {state.replica_id}
 
 
 def tick(state: node.Node, role: node.Leader) -> None:
--- a/bilberrydrum/upstreams/directory.py
+++ b/bilberrydrum/upstreams/directory.py
@@ -327,8 +327,9 @@
         """Take over the upstreams whose owner answers no renewal and has become silent.
 
         This is done before the owner's records expire, so that the upstream is listed
-        without a gap. An owner that reported renewals recently is merely slow: on a
-        busy host, taking its upstreams over made more work, and more owners slow.
+        without a gap. An owner that reported renewals recently is merely slow, and its
+        upstreams are not taken over: on a busy host, the additional work would make
+        more owners slow.
         """
         for forwarding in self._forwards.overdue(now):
             upstream_id = forwarding.renewal.upstream_id
--- a/bilberrydrum/upstreams/forwards.py
+++ b/bilberrydrum/upstreams/forwards.py
@@ -30,7 +30,7 @@
 
     owner: str
     # When the first of them was forwarded.
-    asked_at: float
+    forwarded_at: float
     # The last of them, and when it was received.
     renewal: events.Renewed
     received_at: float
@@ -47,8 +47,10 @@
     def add(self, renewal: events.Renewed, owner: str, now: float) -> None:
         """Record a renewal; its timeout counts from the first one to the same owner."""
         known = self._forwards_by_id.get(renewal.upstream_id)
-        asked_at = now if known is None or known.owner != owner else known.asked_at
-        forwarding = Forwarding(owner, asked_at, renewal, now)
+        forwarded_at = (
+            now if known is None or known.owner != owner else known.forwarded_at
+        )
+        forwarding = Forwarding(owner, forwarded_at, renewal, now)
         self._forwards_by_id[renewal.upstream_id] = forwarding
 
     def remove(self, upstream_id: str) -> Forwarding | None:
@@ -60,7 +62,7 @@
         return [
             forwarding
             for forwarding in self._forwards_by_id.values()
-            if now - forwarding.asked_at >= self._timeout
+            if now - forwarding.forwarded_at >= self._timeout
         ]
 
     def may_move(self, forwarding: Forwarding, now: float) -> bool:
--- a/bilberrydrum/usage/cluster_clock.py
+++ b/bilberrydrum/usage/cluster_clock.py
@@ -26,8 +26,8 @@
         The result is sound as long as fewer than half of the offsets are wrong, by any
         amount.
     """
-    given = list(offsets)
-    return statistics.median(given) if given else None
+    values = list(offsets)
+    return statistics.median(values) if values else None
 
 
 class ClusterClock:
--- a/bilberrydrum/usage/commands.py
+++ b/bilberrydrum/usage/commands.py
@@ -66,11 +66,11 @@
     command: CloseWindows, state: machine.State, context: machine.Context
 ) -> Recorded:
     section = section_of(state)
-    for given in command.windows:
-        if given.window < section.closed_before:
+    for counts in command.windows:
+        if counts.window < section.closed_before:
             continue
-        section.closed_before = given.window + 1
-        section.pending_by_window[given.window] = given
+        section.closed_before = counts.window + 1
+        section.pending_by_window[counts.window] = counts
     while len(section.pending_by_window) > MAX_PENDING:
         dropped = section.pending_by_window.pop(min(section.pending_by_window))
         eliot.log_message(message_type="usage:never-reported", window=dropped.window)
--- a/bilberrydrum/usage/meter.py
+++ b/bilberrydrum/usage/meter.py
@@ -13,7 +13,7 @@
 from bilberrydrum.usage import cluster_clock, model
 
 # Maximum number of windows whose counts are kept while no leader closes them: two
-# minutes of windows of 5 s, some 0.5 MB at 27 requests a second. By then the reports
+# minutes of windows of 5 s, about 0.5 MB at 27 requests a second. By then the reports
 # are long overdue.
 MAX_WINDOWS: Final = 24
 
--- a/bilberrydrum/weights/planner.py
+++ b/bilberrydrum/weights/planner.py
@@ -109,7 +109,7 @@
         self._order_numbers = itertools.count(1)
         self._targets_by_model: Mapping[str, views.Target] = {}
         self._engines_by_id: dict[str, Engine] = {}
-        self._flights_by_engine_id: dict[str, orders.InFlightOrder] = {}
+        self._in_flight_by_engine_id: dict[str, orders.InFlightOrder] = {}
         self._engine_ids_by_order_id: dict[str, str] = {}
         self._limiter = limiter.Limiter()
 
@@ -131,8 +131,8 @@
     def actions_by_engine_id(self) -> dict[str, orders.Action]:
         """Return the actions of the orders in flight."""
         return {
-            engine_id: flight.order.action
-            for engine_id, flight in self._flights_by_engine_id.items()
+            engine_id: in_flight.order.action
+            for engine_id, in_flight in self._in_flight_by_engine_id.items()
         }
 
     @functools.singledispatchmethod
@@ -148,7 +148,7 @@
             # The order was issued under an earlier lease, or the engine has moved to
             # another address since then.
             return []
-        order = self._flights_by_engine_id.pop(engine_id).order
+        order = self._in_flight_by_engine_id.pop(engine_id).order
         engine = self._engines_by_id.setdefault(engine_id, Engine(seen_at=now))
         self._handle_outcome(event.outcome, order, engine, event.jitter, now)
         return []
@@ -170,27 +170,27 @@
         self._forget_moved(event, now)
         counts = swaps.EngineCounts(event.targets_by_model, self._swap_share)
         views_by_id = self._build_views(event, counts, now)
-        slots = counts.slots(self._flights_by_engine_id.values(), now)
+        slots = counts.slots(self._in_flight_by_engine_id.values(), now)
         self._count_loads(event)
         return list(self._plan(event, views_by_id, slots, now))
 
     def _reset(self) -> None:
         self._engines_by_id.clear()
-        self._flights_by_engine_id.clear()
+        self._in_flight_by_engine_id.clear()
         self._engine_ids_by_order_id.clear()
 
     def _forget_moved(self, event: Observed, now: float) -> None:
         """Drop orders to engines that moved, and records of engines that are gone.
 
         An engine on a lost host does not answer at all, so its order ends only after
-        the longest time-out. Waiting for that would leave the engine's next
+        the longest timeout. Waiting for that would leave the engine's next
         incarnation, at another address, without its weights for that time.
         """
-        for engine_id, flight in list(self._flights_by_engine_id.items()):
+        for engine_id, in_flight in list(self._in_flight_by_engine_id.items()):
             upstream = event.engines_by_id.get(engine_id)
-            if upstream is not None and upstream.address != flight.order.address:
-                del self._flights_by_engine_id[engine_id]
-                del self._engine_ids_by_order_id[flight.order.order_id]
+            if upstream is not None and upstream.address != in_flight.order.address:
+                del self._in_flight_by_engine_id[engine_id]
+                del self._engine_ids_by_order_id[in_flight.order.order_id]
         for engine_id, engine in list(self._engines_by_id.items()):
             if engine_id in event.engines_by_id:
                 engine.seen_at = now
@@ -234,8 +234,8 @@
 
     def _count_loads(self, event: Observed) -> None:
         n_loading_by_model = dict.fromkeys(event.targets_by_model, 0)
-        for engine_id, flight in self._flights_by_engine_id.items():
-            action = flight.order.action
+        for engine_id, in_flight in self._in_flight_by_engine_id.items():
+            action = in_flight.order.action
             if engine_id not in event.engines_by_id:
                 # The engine is gone, and its load with it.
                 continue
@@ -265,7 +265,7 @@
         )
         for engine_id in by_need:
             upstream = event.engines_by_id[engine_id]
-            if engine_id in self._flights_by_engine_id:
+            if engine_id in self._in_flight_by_engine_id:
                 continue
             if not (upstream.checks_fencing or event.may_order_unfenced):
                 continue
@@ -337,7 +337,7 @@
             "" if target is None else target.source,
             upstream.checks_fencing,
         )
-        self._flights_by_engine_id[upstream.upstream_id] = orders.InFlightOrder(
+        self._in_flight_by_engine_id[upstream.upstream_id] = orders.InFlightOrder(
             order, now
         )
         self._engine_ids_by_order_id[order_id] = upstream.upstream_id
--- a/bilberrydrum/weights/sender.py
+++ b/bilberrydrum/weights/sender.py
@@ -73,7 +73,11 @@
     # reach an engine that ignores fencing numbers long after the orders of a newer
     # controller. TCP_USER_TIMEOUT makes the kernel itself drop data that is not
     # acknowledged within `flight_seconds`.
-    flight = (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, int(flight_seconds * 1000))
+    user_timeout = (
+        socket.IPPROTO_TCP,
+        socket.TCP_USER_TIMEOUT,
+        int(flight_seconds * 1000),
+    )
     probes = [
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_SECONDS),
@@ -84,7 +88,11 @@
         host,
         int(port),
         timeout=flight_seconds,
-        socket_options=[(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1), flight, *probes],
+        socket_options=[
+            (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
+            user_timeout,
+            *probes,
+        ],
     )
 
 
--- a/bilberrydrum/weights/swaps.py
+++ b/bilberrydrum/weights/swaps.py
@@ -59,15 +59,17 @@
                 self._n_engines[name] += 1
                 self._n_current[name] += model.weight_version == target.weight_version
 
-    def slots(self, flights: Iterable[orders.InFlightOrder], now: float) -> SwapSlots:
+    def slots(
+        self, in_flight_orders: Iterable[orders.InFlightOrder], now: float
+    ) -> SwapSlots:
         """Return the slots that the swaps in flight leave free."""
         n_swapping = dict.fromkeys(self._n_engines, 0)
         n_slow = dict.fromkeys(self._n_engines, 0)
-        for flight in flights:
-            action = flight.order.action
+        for in_flight in in_flight_orders:
+            action = in_flight.order.action
             if action.kind == orders.SWAP and action.model in n_swapping:
                 n_swapping[action.model] += 1
-                n_slow[action.model] += now - flight.issued_at >= FIRST_SWAP_SECONDS
+                n_slow[action.model] += now - in_flight.issued_at >= FIRST_SWAP_SECONDS
         n_free = {
             name: self._n_allowed(name, n_slow[name]) - n_swapping[name]
             for name in self._n_engines
--- a/tests/fakes/batching.py
+++ b/tests/fakes/batching.py
@@ -46,7 +46,7 @@
     prompt: str
     max_tokens: int
     priority: int
-    n_made: int
+    n_generated: int
     # Total number of tokens it would have. If it is more than `max_tokens`, the stream
     # ends there with the finish reason "length".
     length: int
@@ -150,17 +150,17 @@
         prompt: str,
         max_tokens: int,
         priority: int,
-        n_made: int,
+        n_generated: int,
     ) -> Stream:
-        """Queue a generation that continues after `n_made` tokens."""
+        """Queue a generation that continues after `n_generated` tokens."""
         stream = Stream(
             request_id,
             model,
             prompt,
             max_tokens,
             priority,
-            n_made,
-            n_made + self._draw_length(),
+            n_generated,
+            n_generated + self._draw_length(),
         )
         entry = (priority, next(self._order), stream)
         heapq.heappush(self._waiting, entry)
@@ -208,25 +208,25 @@
         if stream.pending and stream.pending_version != version:
             self._send(stream, None)
         stream.pending_version = version
-        stream.n_made += 1
+        stream.n_generated += 1
         self.n_tokens += 1
-        is_last = stream.n_made >= stream.length
+        is_last = stream.n_generated >= stream.length
         stream.pending.append(
             tokens.END_TOKEN_ID
             if is_last
-            else tokens.token_id(stream.prompt, version, stream.n_made - 1)
+            else tokens.token_id(stream.prompt, version, stream.n_generated - 1)
         )
         if is_last:
             self._send(stream, "stop")
-        elif stream.n_made >= stream.max_tokens:
+        elif stream.n_generated >= stream.max_tokens:
             self._send(stream, "length")
         elif len(stream.pending) >= self.settings.tokens_per_event:
             self._send(stream, None)
 
     def _send(self, stream: Stream, finish_reason: str | None) -> None:
-        made = TokenEvent(tuple(stream.pending), stream.pending_version, finish_reason)
+        event = TokenEvent(tuple(stream.pending), stream.pending_version, finish_reason)
         stream.pending.clear()
-        stream.events.put(made)
+        stream.events.put(event)
         if finish_reason is not None:
             # The answer is complete, so the run slot is freed.
             stream.is_cancelled = True
--- a/tests/fakes/engine.py
+++ b/tests/fakes/engine.py
@@ -160,7 +160,7 @@
         self, stream: batching.Stream
     ) -> Iterator[batching.TokenEvent]:
         """Yield the generated events of a stream; closing the generator cancels it."""
-        first = stream.n_made
+        first = stream.n_generated
         segments: list[list[int]] = []
         finish = "cancelled"
         try:
--- a/tests/fakes/group_faults.py
+++ b/tests/fakes/group_faults.py
@@ -1,7 +1,7 @@
 """Faults of a simulated group, and random schedules of them.
 
-Hosts crash with half-written disks, freeze, are partitioned, restart empty, leave and
-are replaced; messages are lost, duplicated and delayed.
+Hosts crash with half-written disks, are suspended or partitioned, restart empty, leave
+and are replaced; messages are lost, duplicated and delayed.
 """
 
 import random
@@ -36,14 +36,14 @@
         group.start(each)
 
 
-def freeze(group, host, rng):
-    host.is_frozen = True
+def suspend(group, host, rng):
+    host.is_suspended = True
     group.run(rng.choice(SECONDS))
-    host.is_frozen = False
+    host.is_suspended = False
 
 
-def freeze_leader(group, host, rng):
-    freeze(group, group.leader() or host, rng)
+def suspend_leader(group, host, rng):
+    suspend(group, group.leader() or host, rng)
 
 
 def cut(group, host, rng):
@@ -87,8 +87,8 @@
     kill,
     kill_all,
     power_off_all,
-    freeze,
-    freeze_leader,
+    suspend,
+    suspend_leader,
     cut,
     lose_disk,
     snapshot,
--- a/tests/fakes/group_hosts.py
+++ b/tests/fakes/group_hosts.py
@@ -18,7 +18,7 @@
     rate: float = 0.0
     offset: float = 0.0
     is_up: bool = False
-    is_frozen: bool = False
+    is_suspended: bool = False
     replica_core: core.Core = None  # type: ignore[assignment]
     store: storage.Storage = None  # type: ignore[assignment]
     applied: applier.Applier = None  # type: ignore[assignment]
@@ -26,7 +26,7 @@
     n_starts: int = 0
 
     def runs(self) -> bool:
-        return self.is_up and not self.is_frozen
+        return self.is_up and not self.is_suspended
 
 
 def joining(hosts: Iterable[Host]) -> dict[str, membership.ReplicaInfo]:
--- a/tests/fakes/lease_world.py
+++ b/tests/fakes/lease_world.py
@@ -129,9 +129,9 @@
 
     def deliver(self, message: Message) -> None:
         self.in_flight.remove(message)
-        self.hand_over(message)
+        self.receive(message)
 
-    def hand_over(self, message: Message) -> None:
+    def receive(self, message: Message) -> None:
         body = message.body
         if isinstance(message.receiver, Gateway):
             if isinstance(body, messages.Unregistered):
--- a/tests/fakes/lone_leader.py
+++ b/tests/fakes/lone_leader.py
@@ -8,7 +8,7 @@
 
 @attrs.define
 class Leadership:
-    """Stands for the leadership of one term."""
+    """The leadership of one term."""
 
     term: int = 1
 
--- a/tests/fakes/node_protocol.py
+++ b/tests/fakes/node_protocol.py
@@ -93,8 +93,8 @@
             while self.is_silent:
                 eventlet.sleep(0.02)
             signature = f"Signature: by-{received.request_id}\r\n"
-            given = scripted.answer(received).decode()
-            connection.sendall(given.replace("\r\n", f"\r\n{signature}", 1).encode())
+            text = scripted.answer(received).decode()
+            connection.sendall(text.replace("\r\n", f"\r\n{signature}", 1).encode())
         else:
             self.request_ids.append(received.request_id)
             self._stream(connection, received)
--- a/tests/fakes/orders.py
+++ b/tests/fakes/orders.py
@@ -82,14 +82,14 @@
         earlier = self._answers_by_order.get(order["order_id"])
         if earlier is not None:
             return earlier
-        answer = self._carry_out(order)
+        answer = self._execute(order)
         self._journal.write("order", order=order, status=answer.status)
         if answer.status == 200:
             self._answers_by_order[order["order_id"]] = answer
             self._on_change()
         return answer
 
-    def _carry_out(self, order: dict[str, Any]) -> server.Answer:
+    def _execute(self, order: dict[str, Any]) -> server.Answer:
         kind = order["kind"]
         done = server.Answer(200, {"state": "done"})
         if kind == "set_role":
--- a/tests/fakes/replica_group.py
+++ b/tests/fakes/replica_group.py
@@ -2,8 +2,8 @@
 
 The test or its random numbers determine everything that happens: which message is
 delivered, lost, duplicated or delayed, when a sync completes, and which host crashes or
-freezes. After each step the group checks its invariants, and raises AssertionError if
-one is violated.
+is suspended. After each step the group checks its invariants, and raises AssertionError
+if one is violated.
 """
 
 import collections
@@ -80,7 +80,7 @@
         self._last_ticket = 0
         for i in range(n_hosts):
             self.add_host(f"h{i}")
-        self._found(n_hosts)
+        self._bootstrap(n_hosts)
 
     # Hosts
 
@@ -93,7 +93,7 @@
         self.start(host)
         return host
 
-    def _found(self, n_hosts: int) -> None:
+    def _bootstrap(self, n_hosts: int) -> None:
         first = membership.Membership(
             tuple(
                 membership.ReplicaInfo(
@@ -119,7 +119,7 @@
         )
         host.jobs = []
         host.is_up = True
-        host.is_frozen = False
+        host.is_suspended = False
         host.n_starts += 1
 
     def crash(self, host: group_hosts.Host) -> None:
@@ -339,7 +339,7 @@
             return
         if (packet.sender, packet.receiver) in self.cuts:
             return
-        if receiver.is_frozen:
+        if receiver.is_suspended:
             # The message waits in the receiver's socket, whose queue is bounded.
             if len(self.packets) < MAX_PACKETS:
                 self.packets.append(packet)
@@ -381,7 +381,7 @@
             self._deliver_some(loss, doubling, is_ordered)
 
     def _runs(self, host: group_hosts.Host) -> bool:
-        return host.is_up and not host.is_frozen
+        return host.is_up and not host.is_suspended
 
     def _deliver_some(self, loss: float, doubling: float, is_ordered: bool) -> None:
         for _ in range(len(self.packets)):
@@ -393,7 +393,7 @@
             if self.random.random() < loss:
                 self.packets.pop(i)
                 continue
-            # Packets for a frozen host are kept, so their number must be bounded.
+            # Packets for a suspended host are kept, so their number must be bounded.
             if len(self.packets) < MAX_PACKETS and self.random.random() < doubling:
                 self.packets.append(self.packets[i])
             self.deliver(i)
--- a/tests/fakes/request_path.py
+++ b/tests/fakes/request_path.py
@@ -17,7 +17,7 @@
     """One gateway's client of the state group, at which the gateway can be stopped.
 
     From outside, a killed process and a suspended one look the same: neither sends
-    anything any more. So a stop is a wait that ends when the test resumes the gateway.
+    anything. So a stop is a wait that ends when the test resumes the gateway.
     """
 
     def __init__(self, group: gateway_parts.StateGroup) -> None:
@@ -81,8 +81,10 @@
         self, method: str, target: str, body: Any = b"", **headers: str
     ) -> wsgi.Pending:
         """Send a request; underscores in header names are replaced by hyphens."""
-        given = {name.replace("_", "-"): value for name, value in headers.items()}
-        return wsgi.send(self.edge, method, target, body, HEADERS | given)
+        sent_headers = {
+            name.replace("_", "-"): value for name, value in headers.items()
+        }
+        return wsgi.send(self.edge, method, target, body, HEADERS | sent_headers)
 
     def book(
         self, key: str = "k", body: bytes = b"window 7", **headers: str
--- a/tests/fakes/wsgi.py
+++ b/tests/fakes/wsgi.py
@@ -135,13 +135,13 @@
 ) -> Pending:
     """Start a request in a new task; a body other than bytes is sent as JSON."""
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    given = headers or {}
+    sent_headers = headers or {}
     near, far = socket.socketpair()
     stream = _Input(data, near)
     environ = environ_of(method, target, data)
     environ["RAW_PATH_INFO"] = environ["PATH_INFO"]
     environ["wsgi.input"] = environ["eventlet.input"] = stream
-    environ["headers_raw"] = tuple(given.items())
-    for name, value in given.items():
+    environ["headers_raw"] = tuple(sent_headers.items())
+    for name, value in sent_headers.items():
         environ["HTTP_" + name.upper().replace("-", "_")] = value
     return Pending(app, environ, far)
--- a/tests/test_bundles_lease.py
+++ b/tests/test_bundles_lease.py
@@ -177,7 +177,7 @@
         under_way = world.in_flight.pop()
         world.roll()
         world.in_flight.clear()
-        world.hand_over(under_way)
+        world.receive(under_way)
         world.in_flight.clear()
         self.assertEqual(world.acts_on(world.gateways_by_id["g0"]), 2)
         self.assertEqual(world.in_force(), 2)
--- a/tests/test_bundles_schedules.py
+++ b/tests/test_bundles_schedules.py
@@ -38,7 +38,7 @@
     def copy(self, data: Any) -> None:
         last = len(self.world.in_flight) - 1
         index = data.draw(strategies.integers(0, last))
-        self.world.hand_over(self.world.in_flight[index])
+        self.world.receive(self.world.in_flight[index])
 
     @stateful.rule(gateway=strategies.sampled_from(("g0", "g1")))
     def exchange(self, gateway: str) -> None:
--- a/tests/test_fleet_feeds.py
+++ b/tests/test_fleet_feeds.py
@@ -225,8 +225,9 @@
     def test_far_behind(self):
         """Hundreds of upstreams announce themselves while a process is delayed.
 
-        Sending the complete registry each time to 300 processes of a fleet of 3,000
-        upstreams cost the leader 33 MB a second and more memory than it has.
+        If the complete registry were sent each time to 300 processes of a fleet of
+        3,000 upstreams, the leader would send 33 MB a second and need more memory than
+        it has.
         """
         self.put("first")
         self.make(0)
--- a/tests/test_fleet_incarnations.py
+++ b/tests/test_fleet_incarnations.py
@@ -62,9 +62,9 @@
         eventlet.sleep(0)
         return self.carrier.answers.pop()
 
-    def announce(self, given):
+    def announce(self, announced):
         """Return whether the announcement was acknowledged."""
-        return isinstance(self.send(messages.Announce(given)), messages.Done)
+        return isinstance(self.send(messages.Announce(announced)), messages.Done)
 
     def depart(self, name, start=None):
         return self.send(messages.Depart(name, start))
@@ -195,10 +195,10 @@
         ("one without a start", upstream(sequence=99), []),
         ("the next one", upstream(start=6), [("i-1/6", False)]),
     )
-    def test_announced_after_a_departure(self, name, given, expected):
+    def test_announced_after_a_departure(self, name, announced, expected):
         self.leader.announce(upstream(start=5))
         self.leader.depart("i-1", 5)
-        self.leader.announce(given)
+        self.leader.announce(announced)
         self.assertEqual(self.leader.known(), expected, name)
 
     def test_another_leader_in_between(self):
@@ -296,8 +296,8 @@
 
     Announcements of the crashed engines arrive in the seconds after the partition. Each
     one that is accepted reassigns the address to an engine that no longer runs, and
-    requests to it fail until the running one announces itself again. This happened 11
-    times within 3 s.
+    requests to it fail until the running one announces itself again. After one such
+    partition, this happened 11 times within 3 s.
     """
 
     @tools.params(*range(5))
@@ -343,12 +343,12 @@
     def test_rejected_under_a_policy(self):
         self.leader.put_policy(SERVICE)
         self.leader.announce(upstream(start=5))
-        for given in (
+        for announced in (
             upstream("i-9", start=9, service="other"),
             upstream(start=9, service="other"),
             upstream(start=5, sequence=9, service="other"),
         ):
-            self.assertFalse(self.leader.announce(given))
+            self.assertFalse(self.leader.announce(announced))
         self.assertEqual(self.leader.known(), [("i-1/5", False)])
 
     def test_accepted_before_the_first_policy(self):
@@ -373,18 +373,18 @@
         state.sections[commands.SECTION] = section
         n_known = 0
         for index in range(3_000):
-            given = upstream(
+            announced = upstream(
                 f"i-{rng.randrange(6)}",
                 start=rng.choice([None, 1, 2, 3]),
                 sequence=rng.randrange(8),
                 address=f"1.1.1.{rng.randrange(5)}:80",
             )
-            n_known += given.upstream_id in section.upstreams_by_id
-            former = section.formers_by_announced_id.get(given.announced_id)
+            n_known += announced.upstream_id in section.upstreams_by_id
+            former = section.formers_by_announced_id.get(announced.announced_id)
             expected = incarnations.assess(
-                given, section.upstreams_by_id.values(), former
+                announced, section.upstreams_by_id.values(), former
             )
-            self.assertEqual(section.assess(given), expected, index)
-            command = commands.PutUpstream(given, rng.random() < 0.3)
+            self.assertEqual(section.assess(announced), expected, index)
+            command = commands.PutUpstream(announced, rng.random() < 0.3)
             machine.apply(command, state, machine.Context(index, float(index)))
         self.assertGreater(n_known, 100)
--- a/tests/test_fleet_loads.py
+++ b/tests/test_fleet_loads.py
@@ -1,9 +1,9 @@
 """Engines announce their loaded weight versions to the control group's leader.
 
-In a large fleet some engine loads weights every few milliseconds. When each change was
-committed by itself and sent to all processes, it took 0.93 of a core and 33 MB a second
-of the control leader with 300 processes and 3,000 engines, and a new policy came into
-force only after 7.5 s.
+In a large fleet some engine loads weights every few milliseconds. If each change were
+committed by itself and sent to all processes, the control leader would need 0.93 of a
+core and send 33 MB a second with 300 processes and 3,000 engines, and a new policy
+would come into force only after 7.5 s.
 """
 
 import unittest
@@ -35,14 +35,14 @@
         self.committed.clear()
 
     def announce(self, number, version, sequence, **fields):
-        given = upstream(
+        announced = upstream(
             f"i-{number}",
             address=f"1.1.1.{number}:80",
             sequence=sequence,
             versions_by_model={"m": version},
             **fields,
         )
-        self.assertTrue(self.leader.announce(given))
+        self.assertTrue(self.leader.announce(announced))
 
     def pass_time(self, seconds):
         self.clock.now += seconds
--- a/tests/test_fleet_registry.py
+++ b/tests/test_fleet_registry.py
@@ -36,8 +36,9 @@
     def test_many_lookups(self):
         """Each item waits for half a millisecond of searching with 3,000 engines.
 
-        The process that sends all items makes this lookup for each of them, and each
-        lookup iterated over all upstreams. It must do so only once for each registry.
+        The process that sends all items makes this lookup for each of them. If each
+        lookup iterated over all upstreams, it would take that long; the upstreams must
+        be iterated over only once for each registry.
         """
         names = [f"e{n}" for n in range(N_UPSTREAMS)]
         upstreams = counted.CountedTuple(test_fleet.upstream(each) for each in names)
--- a/tests/test_state_controller.py
+++ b/tests/test_state_controller.py
@@ -220,12 +220,12 @@
 
     def test_fleet_shares_the_polling_of_a_healthy_holder(self) -> None:
         state = controller_commands.ControllerState(1, "a", "t", 5, LEASE, 330, 0.5)
-        asked = controller_commands.AskController()
-        answered = controller_lease.Answered(asked, 1000.0, state)
+        query = controller_commands.AskController()
+        answered = controller_lease.Answered(query, 1000.0, state)
         self.second.decision.step(1000.0, answered)
         self.assertEqual(self.second.decision.delay, 33.0)
         silent = attrs.evolve(state, silent_seconds=LEASE)
-        answered = controller_lease.Answered(asked, 1033.0, silent)
+        answered = controller_lease.Answered(query, 1033.0, silent)
         self.assertEqual(len(self.second.decision.step(1033.0, answered)), 1)
 
 
@@ -329,9 +329,9 @@
         numbers = [self.world.number(each) for each in self.candidates]
         held = [number for number in numbers if number is not None]
         assert len(held) <= 1, numbers
-        given = controller_commands.read(self.world.state.state()).number
-        assert given >= self.highest
-        self.highest = given
+        number = controller_commands.read(self.world.state.state()).number
+        assert number >= self.highest
+        self.highest = number
 
 
 class TestAnySchedule(ControllerMachine.TestCase):
--- a/tests/test_state_core.py
+++ b/tests/test_state_core.py
@@ -235,9 +235,9 @@
         one = CoreHarness()
         sent = one.wait(60.0)
         self.assertGreater(len(sent), 50)
-        asked = [e for e in sent if not isinstance(e, messages.LeadershipQuery)]
-        self.assertTrue(all(each.is_pre_vote for each in asked))
-        self.assertTrue(asked)
+        vote_requests = [e for e in sent if not isinstance(e, messages.LeadershipQuery)]
+        self.assertTrue(all(each.is_pre_vote for each in vote_requests))
+        self.assertTrue(vote_requests)
         self.assertEqual(one.node.term, 1)
 
     def test_isolated_leader_stops_acting_within_its_lease(self) -> None:
@@ -260,8 +260,8 @@
         self.assertIsInstance(one.node.role, node.Follower)
         self.assertEqual(one.node.commit_index, 2)
 
-    def test_frozen_leader_wakes_without_its_lease(self) -> None:
-        """The leader is frozen until its lease has expired, and then serves a read.
+    def test_suspended_leader_resumes_without_its_lease(self) -> None:
+        """The leader is suspended until its lease has expired, and then serves a read.
 
         The read comes before any event or tick, so the lease must be compared with the
         clock at the time of the call.
@@ -272,7 +272,7 @@
         self.assertFalse(one.has_lease())
 
     def test_late_answers_do_not_renew_the_lease(self) -> None:
-        """A resumed leader processes replies that arrived while it was frozen.
+        """A resumed leader processes replies that arrived while it was suspended.
 
         They extend the lease from the time at which the messages were sent, not from
         the time at which the replies are processed.
@@ -313,7 +313,7 @@
         self.assertFalse(one.has_lease())
 
 
-class Handover(unittest.TestCase):
+class LeadershipTransfer(unittest.TestCase):
     def test_stopping_leader_names_its_successor_and_gives_up_its_lease(self) -> None:
         one = CoreHarness()
         one.establish()
--- a/tests/test_state_group.py
+++ b/tests/test_state_group.py
@@ -1,4 +1,4 @@
-"""State groups of real processes that are killed, frozen, emptied and restarted."""
+"""State groups of real processes that are killed, suspended, emptied and restarted."""
 
 import time
 import unittest
@@ -41,8 +41,8 @@
     def read(self) -> int:
         return self.group.read(self.key)
 
-    def test_frozen_leader_wakes_with_pending_commands(self) -> None:
-        """The leader is frozen (SIGSTOP) past its lease with commands in its socket.
+    def test_suspended_leader_resumes_with_pending_commands(self) -> None:
+        """The leader is suspended (SIGSTOP) past its lease with commands in its socket.
 
         The others elect a new leader. When the old one resumes, it must neither answer
         from stale state nor report commands that only it received: each command counts
--- a/tests/test_state_leader_calls.py
+++ b/tests/test_state_leader_calls.py
@@ -70,26 +70,26 @@
         return TAKEN
 
     @staticmethod
-    def commits_and_leads_anew(replica: Replica) -> Any:
+    def commits_and_leads_again(replica: Replica) -> Any:
         replica.term += 1
         return TAKEN
 
     @staticmethod
-    def cannot_tell(replica: Replica) -> Any:
+    def has_no_effect(replica: Replica) -> Any:
         return None
 
     @staticmethod
-    def cannot_tell_whether_it_commits(replica: Replica) -> Any:
+    def has_unknown_outcome(replica: Replica) -> Any:
         return leader_service.UNKNOWN_OUTCOME
 
     @tools.params(
         # Name, what the replica does with the call, its term; whether the caller learns
         # that the call may have taken effect.
         ("lost its lease", "commits_and_loses_its_lease", 3, True),
-        ("leads in another term", "commits_and_leads_anew", 3, True),
+        ("leads in another term", "commits_and_leads_again", 3, True),
         ("does not lead", "commits", 0, False),
-        ("was refused by the log", "cannot_tell", 3, False),
-        ("not committed in time", "cannot_tell_whether_it_commits", 3, True),
+        ("was refused by the log", "has_no_effect", 3, False),
+        ("not committed in time", "has_unknown_outcome", 3, True),
     )
     def test_effect_of_a_call_without_an_answer(
         self, name: str, handler: str, term: int, may_have_applied: bool
--- a/tests/test_state_membership.py
+++ b/tests/test_state_membership.py
@@ -54,7 +54,7 @@
     def test_removal_that_loses_the_majority(self) -> None:
         """One of three hosts is lost, and an operator removes a healthy one.
 
-        Two voters would remain, one of them lost. Nothing could be committed any more,
+        Two voters would remain, one of them lost. Nothing could then be committed,
         not even the reversal of the change.
         """
         one = test_state_core.CoreHarness()
@@ -94,7 +94,7 @@
     @tools.params(
         ("joins", (), (0, False), 100, "add-learner"),
         ("old replica gone", ("c2",), (100, False), 100, "remove"),
-        ("old replica heard", ("c2",), (100, True), 100, None),
+        ("old replica reachable", ("c2",), (100, True), 100, None),
         ("behind", ("d",), (100, True), 1000, None),
         ("caught up", ("d",), (100, True), 300, "promote"),
     )
@@ -102,7 +102,7 @@
         self,
         name: str,
         learners: tuple[str, ...],
-        learned: tuple[int, bool],
+        progress: tuple[int, bool],
         commit_index: int,
         kind: str | None,
     ) -> None:
@@ -114,13 +114,13 @@
             current = membership.Membership((*current.replicas, self.NEW_C))
         if "d" in learners:
             current = membership.Membership((*current.replicas, LEARNER))
-        match_index, is_old_heard = learned
+        match_index, is_old_reachable = progress
         change = membership_planner.next_change(
             current,
             joining,
             {
                 "c2": membership_planner.ReplicaProgress(match_index, True),
-                "c": membership_planner.ReplicaProgress(0, is_old_heard),
+                "c": membership_planner.ReplicaProgress(0, is_old_reachable),
                 "d": membership_planner.ReplicaProgress(match_index, True),
             },
             commit_index,
@@ -136,7 +136,7 @@
 
     def due(self, replicas, lost=(), leaving=(), joining=(), behind=()):
         """Return the kind and the replica id of the change that is due."""
-        learned = {
+        progress = {
             each.replica_id: membership_planner.ReplicaProgress(
                 100 if each.replica_id not in behind else 0,
                 each.replica_id not in lost,
@@ -147,7 +147,7 @@
         change = membership_planner.next_change(
             membership.Membership(tuple(replicas)),
             {each.process_id: each for each in joining},
-            learned,
+            progress,
             100,
             policy,
         )
@@ -155,10 +155,10 @@
 
     @tools.params(
         ("all well", VOTERS[:3], (), (), (), None),
-        ("one stands by", VOTERS[:3], (), (), (LEARNER,), None),
+        ("one is spare", VOTERS[:3], (), (), (LEARNER,), None),
         ("one is lost", VOTERS[:3], ("r0",), (), (LEARNER,), ("add-learner", "r3")),
         ("one leaves", VOTERS[:3], (), ("p0",), (LEARNER,), ("add-learner", "r3")),
-        ("a leaving one stands by", VOTERS[:3], ("r0",), ("p3",), (LEARNER,), None),
+        ("a spare one is leaving", VOTERS[:3], ("r0",), ("p3",), (LEARNER,), None),
         ("lost, caught up", (*VOTERS[:3], LEARNER), ("r0",), (), (), ("remove", "r0")),
         ("then promoted", (*VOTERS[1:3], LEARNER), (), (), (), ("promote", "r3")),
         (
@@ -170,14 +170,14 @@
             ("promote", "r3"),
         ),
         ("then removed", VOTERS, (), ("p0",), (), ("remove", "r0")),
-        ("nobody to take its place", VOTERS[:3], ("r0",), (), (), None),
+        ("no spare to replace it", VOTERS[:3], ("r0",), (), (), None),
     )
     def test_due(self, name, replicas, lost, leaving, joining, expected):
         self.assertEqual(self.due(replicas, lost, leaving, joining), expected, name)
 
     @tools.params(
         ("the zone that lost one", {"p3": "x", "p4": "z"}, "r4"),
-        ("whoever asked first, if zones are not known", {}, "r3"),
+        ("the first that asked, if zones are not known", {}, "r3"),
         ("a zone without any", {"p3": "y", "p4": "v"}, "r4"),
     )
     def test_zones_stay_spread(self, name, zones, expected):
@@ -191,7 +191,7 @@
             membership.ReplicaInfo(f"r{i}", f"p{i}", f"a{i}", is_voter=False)
             for i in (3, 4)
         ]
-        learned = {
+        progress = {
             f"r{i}": membership_planner.ReplicaProgress(100, i != 2) for i in range(3)
         }
         policy = membership_planner.Policy(
@@ -200,7 +200,7 @@
         change = membership_planner.next_change(
             membership.Membership(self.VOTERS[:3]),
             {each.process_id: each for each in candidates},
-            learned,
+            progress,
             100,
             policy,
         )
--- a/tests/test_state_operators.py
+++ b/tests/test_state_operators.py
@@ -28,10 +28,10 @@
 
     def __init__(self, answers: dict[type[Any], Any]) -> None:
         self.answers = answers
-        self.asked: list[Any] = []
+        self.received: list[Any] = []
 
     def query(self, query: object, timeout: float = 5.0) -> Any:
-        self.asked.append(query)
+        self.received.append(query)
         return self.answers.get(type(query), UNAVAILABLE)
 
     submit = query
@@ -97,7 +97,7 @@
         answers = {commands.RemoveMember: changed}
         status, _, body = self.call(answers, "DELETE", "/v1/state/members/r1")
         self.assertEqual(status, expected)
-        self.assertEqual(self.state.asked, [commands.RemoveMember("r1")])
+        self.assertEqual(self.state.received, [commands.RemoveMember("r1")])
         self.assertIn(detail, json.loads(body).get("detail", ""))
 
     @tools.params(
@@ -131,4 +131,4 @@
         status, _, body = self.call({}, "POST", "/v1/state/snapshot", bytes(data))
         self.assertEqual(status, 422)
         self.assertEqual(json.loads(body)["reason"], "snapshot-invalid")
-        self.assertEqual(self.state.asked, [])
+        self.assertEqual(self.state.received, [])
--- a/tests/test_state_processes.py
+++ b/tests/test_state_processes.py
@@ -22,8 +22,8 @@
         return processes.read(self.state.state())
 
     def test_incarnation_rises_at_each_start_of_any_process(self) -> None:
-        given = [register(self.state, name, f"t{i}") for i, name in enumerate("abab")]
-        self.assertEqual(given, [1, 2, 3, 4])
+        numbers = [register(self.state, name, f"t{i}") for i, name in enumerate("abab")]
+        self.assertEqual(numbers, [1, 2, 3, 4])
 
     def test_registration_sent_again_gets_the_same_incarnation(self) -> None:
         """The answer to a registration is lost and the process sends it again.
@@ -86,9 +86,9 @@
             former = restored.former_by_incarnation.values()
             self.assertIn(processes.UNKNOWN_INCARNATIONS, former)
             self.state.state().sections[processes.SECTION] = restored
-            given = register(self.state, "c", f"t{time}")
-            self.assertGreaterEqual(given, lowest)
-            self.assertNotIn(given, former)
+            number = register(self.state, "c", f"t{time}")
+            self.assertGreaterEqual(number, lowest)
+            self.assertNotIn(number, former)
             self.assertGreater(restored.change, max(current.change, int(time) - 1))
 
     def test_register_waits_until_the_state_group_answers(self) -> None:
--- a/tests/test_state_remote.py
+++ b/tests/test_state_remote.py
@@ -59,9 +59,9 @@
         command = state_process.Add("k")
         return eventlet.spawn(self.client.submit, command, timeout)
 
-    def open(self, session_id: int = 5, n_asked: int = 1) -> str:
-        address, asked = self.carrier.wait_for(messages.OpenSession, n_asked)[-1]
-        opened = messages.SessionOpened(asked.client_id, session_id)
+    def open(self, session_id: int = 5, n_requests: int = 1) -> str:
+        address, request = self.carrier.wait_for(messages.OpenSession, n_requests)[-1]
+        opened = messages.SessionOpened(request.client_id, session_id)
         self.carrier.receive(address, opened)
         return str(address)
 
@@ -165,7 +165,7 @@
         _, submit = self.carrier.wait_for(messages.Submit)[0]
         lost = messages.SessionLost(submit.client_id, 5, [submit.items[0].number])
         self.carrier.receive(address, lost)
-        self.open(9, n_asked=2)
+        self.open(9, n_requests=2)
         sent = self.carrier.wait_for(messages.Submit, 2)[1]
         self.assertEqual(sent[1].session_id, 9)
         self.answer(*sent, 1)
--- a/tests/test_state_replica.py
+++ b/tests/test_state_replica.py
@@ -43,42 +43,42 @@
         return replica.Replica(settings, self.carrier)
 
     def start(self, snapshot_entries: int = 20_000) -> replica.Replica:
-        made = self.make(snapshot_entries)
-        made.start()
-        self.addCleanup(made.stop)
+        replica_ = self.make(snapshot_entries)
+        replica_.start()
+        self.addCleanup(replica_.stop)
         with eventlet.Timeout(20.0):
-            while made.leadership() is None:
+            while replica_.leadership() is None:
                 clock.sleep(0.01)
-        return made
+        return replica_
 
-    def add(self, made: replica.Replica) -> int:
-        total: int = made.propose(state_process.Add("k")).unwrap().total
+    def add(self, replica_: replica.Replica) -> int:
+        total: int = replica_.propose(state_process.Add("k")).unwrap().total
         return total
 
 
 class Lifecycle(ReplicaCase):
     def test_state_is_there_after_a_restart_from_snapshot_and_log(self) -> None:
-        made = self.start(snapshot_entries=25)
+        replica_ = self.start(snapshot_entries=25)
         for _ in range(130):
-            self.add(made)
-        made.stop()
+            self.add(replica_)
+        replica_.stop()
         names = [path.name for path in pathlib.Path(self.folder).iterdir()]
         self.assertEqual(sum(name.startswith("snapshot-") for name in names), 1)
         again = self.start(snapshot_entries=25)
         self.assertEqual(self.add(again), 131)
 
     def test_watchers_see_each_command_once_with_its_answer(self) -> None:
-        made = self.make()
-        seen: list[int] = []
-        made.watch(lambda command, answer: seen.append(answer.total))
-        made.start()
-        self.addCleanup(made.stop)
+        replica_ = self.make()
+        totals: list[int] = []
+        replica_.watch(lambda command, answer: totals.append(answer.total))
+        replica_.start()
+        self.addCleanup(replica_.stop)
         with eventlet.Timeout(20.0):
-            while made.leadership() is None:
+            while replica_.leadership() is None:
                 clock.sleep(0.01)
         for _ in range(3):
-            self.add(made)
-        self.assertEqual(seen, [1, 2, 3])
+            self.add(replica_)
+        self.assertEqual(totals, [1, 2, 3])
 
     def test_new_leader_acts_only_on_what_is_applied(self) -> None:
         """A replica is elected before it has applied all committed entries.
@@ -86,25 +86,25 @@
         If another task acted on the replica's state at once, it would serve old
         bundles.
         """
-        made = self.make()
+        replica_ = self.make()
         with mock.patch.object(applying.ApplyTask, "put") as held:
-            made.start()
-            self.addCleanup(made.stop)
+            replica_.start()
+            self.addCleanup(replica_.stop)
             with eventlet.Timeout(20.0):
-                while not made.has_lease():
+                while not replica_.has_lease():
                     clock.sleep(0.01)
-            self.assertIsNone(made.leadership())
+            self.assertIsNone(replica_.leadership())
         for call in held.call_args_list:
-            made._apply.put(*call.args)
+            replica_._apply.put(*call.args)
         with eventlet.Timeout(20.0):
-            while made.leadership() is None:
+            while replica_.leadership() is None:
                 clock.sleep(0.01)
 
     def test_stopped_replica_neither_leads_nor_proposes(self) -> None:
-        made = self.start()
-        made.stop()
-        self.assertIsNone(made.leadership())
-        answer = made.propose(state_process.Add("k"))
+        replica_ = self.start()
+        replica_.stop()
+        self.assertIsNone(replica_.leadership())
+        answer = replica_.propose(state_process.Add("k"))
         assert isinstance(answer, result.Err)
         self.assertFalse(answer.err_value.may_have_applied)
 
@@ -116,39 +116,39 @@
         snapshot that contains the entry's effect but not the entry. If it reported that
         the entry is not in the log, the caller would assume that the batch was refused.
         """
-        made = self.start()
-        self.add(made)
-        put = made._apply.put
+        replica_ = self.start()
+        self.add(replica_)
+        put = replica_._apply.put
 
         def lose_commits(effect: object) -> None:
             if not isinstance(effect, events.Commit):
                 put(effect)
 
-        with mock.patch.object(made._apply, "put", lose_commits):
-            asked = eventlet.spawn(made.propose, state_process.Add("k"))
+        with mock.patch.object(replica_._apply, "put", lose_commits):
+            proposal = eventlet.spawn(replica_.propose, state_process.Add("k"))
             with eventlet.Timeout(10.0):
-                while not len(made._client_requests.waiters):
+                while not len(replica_._client_requests.waiters):
                     clock.sleep(0.01)
-        index = made.node.log.last_index
-        header = snapshot.Header(index, made.node.term, 1.0, made.node.members)
-        put(events.Restore(index, snapshot.encode(header, made.state())))
+        index = replica_.node.log.last_index
+        header = snapshot.Header(index, replica_.node.term, 1.0, replica_.node.members)
+        put(events.Restore(index, snapshot.encode(header, replica_.state())))
         with eventlet.Timeout(10.0):
-            answer = asked.wait()
+            answer = proposal.wait()
         assert isinstance(answer, result.Err)
         self.assertTrue(answer.err_value.may_have_applied)
 
     def test_backup_is_restored_into_a_new_group(self) -> None:
         """All disks are lost; the operator restores a backup into a new group."""
-        made = self.start()
+        replica_ = self.start()
         for _ in range(5):
-            self.add(made)
-        header = snapshot.Header(1, 1, 1.0, made.node.members)
-        saved = snapshot.encode(header, made.state())
-        self.add(made)
-        made.stop()
+            self.add(replica_)
+        header = snapshot.Header(1, 1, 1.0, replica_.node.members)
+        saved = snapshot.encode(header, replica_.state())
+        self.add(replica_)
+        replica_.stop()
         shutil.rmtree(self.folder)
         again = self.start()
-        self.assertNotEqual(again.node.replica_id, made.node.replica_id)
+        self.assertNotEqual(again.node.replica_id, replica_.node.replica_id)
         restored = again.propose(commands.RestoreState(saved)).unwrap()
         self.assertTrue(restored.is_restored, restored)
         damaged = commands.RestoreState(saved[:-1] + b"\x00")
@@ -159,10 +159,10 @@
         self.make().stop()
 
     def test_start_refuses_a_damaged_folder(self) -> None:
-        made = self.start()
+        replica_ = self.start()
         for _ in range(5):
-            self.add(made)
-        made.stop()
+            self.add(replica_)
+        replica_.stop()
         path = pathlib.Path(self.folder, "log-1")
         data = bytearray(path.read_bytes())
         data[60] ^= 1
@@ -172,21 +172,21 @@
 
 
 class DiskFailure(ReplicaCase):
-    def test_replica_whose_disk_fails_stops_as_a_whole(self) -> None:
+    def test_replica_whose_disk_fails_stops_completely(self) -> None:
         """A sync fails while commands arrive.
 
         It is then unknown whether the data is on disk, even if a later sync succeeds.
         So the replica must stop acknowledging commands and stop leading.
         """
-        made = self.start()
-        self.add(made)
+        replica_ = self.start()
+        self.add(replica_)
         error = OSError(5, "Input/output error")
         with mock.patch.object(files.DiskFiles, "sync", side_effect=error):
-            answer = made.propose(state_process.Add("k"), timeout=0.5)
+            answer = replica_.propose(state_process.Add("k"), timeout=0.5)
         self.assertTrue(answer.is_err())
-        self.assertIsNone(made.leadership())
-        self.assertIn("Input/output error", made.status().failure)
-        self.assertTrue(made.propose(state_process.Add("k"), timeout=0.5).is_err())
+        self.assertIsNone(replica_.leadership())
+        self.assertIn("Input/output error", replica_.status().failure)
+        self.assertTrue(replica_.propose(state_process.Add("k"), timeout=0.5).is_err())
 
 
 class Snapshots(unittest.TestCase):
@@ -214,7 +214,7 @@
         ("small", applying.HANDOVER_BYTES - 1, True, True),
         ("large, all others gone", applying.HANDOVER_BYTES, False, True),
     )
-    def test_leader_of_a_large_state_hands_over_first(
+    def test_leader_of_a_large_state_transfers_the_leadership_first(
         self, name: str, n_bytes: int, is_heard: bool, leads: bool
     ) -> None:
         """Encoding takes seconds, during which no command would be answered.
--- a/tests/test_state_schedules.py
+++ b/tests/test_state_schedules.py
@@ -45,18 +45,18 @@
     group.start(host)
 
 
-def freeze(group: replica_group.Group, host: group_hosts.Host) -> None:
-    host.is_frozen = True
+def suspend(group: replica_group.Group, host: group_hosts.Host) -> None:
+    host.is_suspended = True
 
 
-def wake(group: replica_group.Group, host: group_hosts.Host) -> None:
-    host.is_frozen = False
+def resume(group: replica_group.Group, host: group_hosts.Host) -> None:
+    host.is_suspended = False
 
 
-def freeze_leader(group: replica_group.Group, host: group_hosts.Host) -> None:
+def suspend_leader(group: replica_group.Group, host: group_hosts.Host) -> None:
     leader = group.leader()
     if leader is not None:
-        leader.is_frozen = True
+        leader.is_suspended = True
 
 
 def isolate(group: replica_group.Group, host: group_hosts.Host) -> None:
@@ -92,7 +92,7 @@
     """Request the removal of a replica, which the leader may refuse."""
     leader = group.leader()
     info = host.replica_core.node.members.find(host.replica_core.node.replica_id)
-    if leader is not None and not leader.is_frozen and info is not None:
+    if leader is not None and not leader.is_suspended and info is not None:
         group.change(leader, membership.Change(membership.REMOVE, info))
 
 
@@ -106,14 +106,14 @@
         lose_disk(group, host)
 
 
-def give_up(group: replica_group.Group, host: group_hosts.Host) -> None:
+def transfer_leadership(group: replica_group.Group, host: group_hosts.Host) -> None:
     group.transfer_leadership(group.leader() or host)
 
 
-def mend_all(group: replica_group.Group) -> None:
+def repair_all(group: replica_group.Group) -> None:
     for host in group.hosts_by_name.values():
         restart(group, host)
-        host.is_frozen = False
+        host.is_suspended = False
     group.cuts.clear()
 
 
@@ -123,9 +123,9 @@
         crash,
         restart,
         crash_and_restart,
-        freeze,
-        wake,
-        freeze_leader,
+        suspend,
+        resume,
+        suspend_leader,
         isolate,
         isolate_leader,
         mute,
@@ -134,7 +134,7 @@
         lose_disk,
         remove,
         rejoin,
-        give_up,
+        transfer_leadership,
     )
 }
 
@@ -199,8 +199,8 @@
         self.group.run(seconds, loss=0.05)
 
     @stateful.rule(seconds=SECONDS)
-    def mend(self, seconds: float) -> None:
-        mend_all(self.group)
+    def repair(self, seconds: float) -> None:
+        repair_all(self.group)
         self.group.run(seconds)
 
     def teardown(self) -> None:
--- a/tests/test_state_serving.py
+++ b/tests/test_state_serving.py
@@ -120,10 +120,12 @@
         If it bootstrapped a group with the third, which is empty too, there would be
         two groups: the data of the first is still on the host that is down.
         """
-        found = self.bootstrap(process_id)
+        bootstrap_ = self.bootstrap(process_id)
         for other, is_empty in empty.items():
-            found.record_reply(messages.ProbeReply(other, f"r-{other}", is_empty, "r1"))
-        self.assertEqual(found.first_membership() is not None, bootstraps, name)
+            bootstrap_.record_reply(
+                messages.ProbeReply(other, f"r-{other}", is_empty, "r1")
+            )
+        self.assertEqual(bootstrap_.first_membership() is not None, bootstraps, name)
 
     def test_answer_to_an_earlier_replica_is_not_counted(self) -> None:
         """All were empty, a host bootstrapped the group, and then it lost its disk.
@@ -131,14 +133,18 @@
         An answer to a probe of its former replica arrives late and says "empty". If it
         counted, the host would bootstrap a second group.
         """
-        found = self.bootstrap(replica_id="r2")
+        bootstrap_ = self.bootstrap(replica_id="r2")
         for other in "bc":
-            found.record_reply(messages.ProbeReply(other, f"r-{other}", True, "r1"))
-        self.assertIsNone(found.first_membership())
+            bootstrap_.record_reply(
+                messages.ProbeReply(other, f"r-{other}", True, "r1")
+            )
+        self.assertIsNone(bootstrap_.first_membership())
 
     def test_existing_group_is_remembered(self) -> None:
-        found = self.bootstrap()
-        found.record_reply(messages.ProbeReply("b", "r-b", False, "r1"))
+        bootstrap_ = self.bootstrap()
+        bootstrap_.record_reply(messages.ProbeReply("b", "r-b", False, "r1"))
         for other in "bc":
-            found.record_reply(messages.ProbeReply(other, f"r-{other}", True, "r1"))
-        self.assertIsNone(found.first_membership())
+            bootstrap_.record_reply(
+                messages.ProbeReply(other, f"r-{other}", True, "r1")
+            )
+        self.assertIsNone(bootstrap_.first_membership())
--- a/tests/test_state_starting.py
+++ b/tests/test_state_starting.py
@@ -28,15 +28,21 @@
 
     def test_asks_all_voters(self):
         sent = self.one.wait(0.05)
-        asked = {e.receiver_id for e in sent if isinstance(e, messages.LeadershipQuery)}
-        self.assertEqual(asked, {"b", "c"})
+        queried_ids = {
+            e.receiver_id for e in sent if isinstance(e, messages.LeadershipQuery)
+        }
+        self.assertEqual(queried_ids, {"b", "c"})
 
     @tools.params(
         ("nobody leads", [("b", False), ("c", False)], True),
         ("c does not answer", [("b", False)], False),
         ("c leads", [("b", False), ("c", True)], False),
         ("c leads by now", [("c", False), ("b", False), ("c", True)], True),
-        ("an earlier life was answered", [("b", False, 1), ("c", False, 1)], False),
+        (
+            "the replies are to an earlier incarnation",
+            [("b", False, 1), ("c", False, 1)],
+            False,
+        ),
     )
     def test_starts_election_at_once(self, name, answers, expected):
         """All replicas, or only this one, were killed and restarted.
--- a/tests/test_text_schedules.py
+++ b/tests/test_text_schedules.py
@@ -16,7 +16,7 @@
 from tests.fakes import group_faults, text_group
 
 N_SCHEDULES = int(os.environ.get("BILBERRYDRUM_SCHEDULES", "120"))
-N_TROUBLES = 6
+N_FAULTS = 6
 SECONDS = (0.3, 0.8, 2.0)
 
 
@@ -26,7 +26,7 @@
     group = text_group.TextGroup(3, seed, n_voters=3)
     group.add_host("h3")
     group.run(1.5)
-    group_faults.inject_faults(group, rng, N_TROUBLES, SECONDS)
+    group_faults.inject_faults(group, rng, N_FAULTS, SECONDS)
     group.settle()
     return group
 
--- a/tests/test_upstreams_directory.py
+++ b/tests/test_upstreams_directory.py
@@ -210,7 +210,7 @@
                 for name in ("e0", "e1", "e2"):
                     net.announce(name, at=owner)
                 net.advance(1.0)
-                net.freeze("gw-0")
+                net.suspend("gw-0")
                 net.advance(0.2)
                 net.ask("gw-0", events.Renewed("e0"))
                 net.ask("gw-0", events.Renewed("e1"))
@@ -218,7 +218,7 @@
                 net.crash("e1")
                 net.advance(10.0)
                 self.assertEqual(set(), net.listed("gw-0"))
-                net.wake("gw-0")
+                net.resume("gw-0")
                 net.advance(1.0)
                 self.assertTrue(all(listed == {"e2"} for listed in net.all_listed()))
 
@@ -230,13 +230,13 @@
         net = upstreams_net.Net(2, 0)
         net.announce("e0", at="gw-0")
         net.advance(0.6)
-        net.freeze("gw-0")
+        net.suspend("gw-0")
         net.renew("e0", at="gw-1")
         net._deliver()
         net.crash("e0")
         net.kill("gw-1")
         net.advance(10.0)
-        net.wake("gw-0")
+        net.resume("gw-0")
         net.advance(2.0)
         self.assertEqual(set(), net.listed("gw-0"))
 
--- a/tests/test_upstreams_parts.py
+++ b/tests/test_upstreams_parts.py
@@ -65,8 +65,8 @@
 
     def test_a_slow_answer_makes_messages_older_never_newer(self):
         """On a busy host an answer takes 1 s. If it were ignored, the owner's messages
-        would not count and the owner would be asked again, which made 96 gateways that
-        started at once ask each other endlessly. A fast answer later corrects it.
+        would not count and the owner would be asked again: 96 gateways that start at
+        once would ask each other endlessly. A fast answer later corrects it.
         """
         clock = views.SenderClock()
         clock.calibrate(500_100, 0, 1.0)
--- a/tests/test_upstreams_relays.py
+++ b/tests/test_upstreams_relays.py
@@ -186,13 +186,13 @@
         net = relayed_net(4)
         net.advance(1.0)
         relay_node = own_group(net, "gw-0")[0]
-        net.freeze(relay_node)
+        net.suspend(relay_node)
         other = next(name for name in net.nodes_by_id if name != relay_node)
         net.advance(0.2)
         net.leave("e0", at=other)
         net.crash("e1")
         net.advance(10.0)
-        net.wake(relay_node)
+        net.resume(relay_node)
         net.advance(2.0)
         for listed in net.all_listed():
             self.assertEqual({"e2", "e3"}, listed)
--- a/tests/test_upstreams_schedules.py
+++ b/tests/test_upstreams_schedules.py
@@ -24,8 +24,8 @@
     st.tuples(st.just("drain"), upstreams, gateways, st.booleans()),
     st.tuples(st.just("kill"), gateways),
     st.tuples(st.just("start"), gateways),
-    st.tuples(st.just("freeze"), gateways),
-    st.tuples(st.just("wake"), gateways),
+    st.tuples(st.just("suspend"), gateways),
+    st.tuples(st.just("resume"), gateways),
     st.tuples(st.just("cut"), st.sets(gateways, min_size=1, max_size=2)),
     st.tuples(st.just("cut_link"), gateways, gateways),
     st.tuples(st.just("heal")),
@@ -40,38 +40,40 @@
 
 
 def run(net, action):
-    kind, *given = (named(net, value) for value in action)
-    node = net.nodes_by_id.get(given[-1]) if given and kind != "cut" else None
+    kind, *arguments = (named(net, value) for value in action)
+    node = net.nodes_by_id.get(arguments[-1]) if arguments and kind != "cut" else None
     if kind == "advance":
-        net.advance(given[0])
+        net.advance(arguments[0])
     elif kind == "leave" and is_up(node):
-        net.leave(given[0], at=given[1])
+        net.leave(arguments[0], at=arguments[1])
     elif kind == "crash":
-        net.crash(given[0])
+        net.crash(arguments[0])
     elif kind == "announce" and is_up(node):
-        net.announce(given[0], at=given[1])
-    elif kind == "renew" and is_up(node) and net.agents_by_id[given[0]].is_running:
-        net.renew(given[0], at=given[1])
+        net.announce(arguments[0], at=arguments[1])
+    elif kind == "renew" and is_up(node) and net.agents_by_id[arguments[0]].is_running:
+        net.renew(arguments[0], at=arguments[1])
     elif kind == "drain":
-        if is_up(net.nodes_by_id[given[1]]):
-            event = events.DrainRequested(given[0], given[2], upstreams_net.WALL)
-            net.ask(given[1], event)
+        if is_up(net.nodes_by_id[arguments[1]]):
+            event = events.DrainRequested(
+                arguments[0], arguments[2], upstreams_net.WALL
+            )
+            net.ask(arguments[1], event)
     elif kind == "kill" and sum(is_up(n) for n in net.nodes_by_id.values()) > 1:
-        net.kill(given[0])
+        net.kill(arguments[0])
     elif kind == "start" and node.core is None:
-        net.start(given[0])
-    elif kind == "freeze" and sum(is_up(n) for n in net.nodes_by_id.values()) > 1:
-        net.freeze(given[0])
-    elif kind == "wake":
-        net.wake(given[0])
+        net.start(arguments[0])
+    elif kind == "suspend" and sum(is_up(n) for n in net.nodes_by_id.values()) > 1:
+        net.suspend(arguments[0])
+    elif kind == "resume":
+        net.resume(arguments[0])
     elif kind == "cut":
-        net.cut_off(*given[0])
+        net.cut_off(*arguments[0])
     elif kind == "cut_link":
-        net.cut |= {(given[0], given[1])}
+        net.cut |= {(arguments[0], arguments[1])}
     elif kind == "heal":
         net.heal()
     elif kind == "network":
-        net.loss, net.duplication, net.max_delay, net.holds_on_cut = given
+        net.loss, net.duplication, net.max_delay, net.holds_on_cut = arguments
 
 
 def named(net, value):
@@ -84,14 +86,14 @@
 
 
 def is_up(node):
-    return node is not None and node.core is not None and not node.is_frozen
+    return node is not None and node.core is not None and not node.is_suspended
 
 
 def end_all_failures(net):
     net.loss = net.duplication = net.max_delay = 0.0
     for node in net.nodes_by_id.values():
-        if node.is_frozen and node.core is not None:
-            net.wake(node.process_id)
+        if node.is_suspended and node.core is not None:
+            net.resume(node.process_id)
         if node.core is None:
             net.start(node.process_id)
     net.heal()
--- a/tests/test_usage_path.py
+++ b/tests/test_usage_path.py
@@ -64,12 +64,12 @@
         self.reports.append(json.loads(received.body))
         connection.sendall(scripted.answer(received, b""))
 
-    def put(self, version, *given):
+    def put(self, version, *accounts):
         document = policy.Policy(
             version,
             test_nodes_path.ROUTES,
             test_nodes_path.SERVICES,
-            accounts=given,
+            accounts=accounts,
         )
         self.ask_control(messages.SubmitPolicy(document, b"as submitted"))
 
@@ -99,12 +99,12 @@
             account=caller.account,
         )
         before_sending()
-        given = self.gateway.relay.handle(inbound, route)
-        if isinstance(given, relay_model.Refused):
+        answer = self.gateway.relay.handle(inbound, route)
+        if isinstance(answer, relay_model.Refused):
             # Since the caller was checked, nothing but the lease may have expired.
-            self.assertIs(given.reason, reasons.Reason.BUNDLE_LEASE_EXPIRED)
-            return given.reason
-        return given.status
+            self.assertIs(answer.reason, reasons.Reason.BUNDLE_LEASE_EXPIRED)
+            return answer.reason
+        return answer.status
 
     def n_reported(self):
         total = {}
@@ -149,8 +149,8 @@
         expired = reasons.Reason.BUNDLE_LEASE_EXPIRED
         is_confirmed = self.gateway.view.is_policy_confirmed
         # The lease expires between the check of the caller and the sending.
-        given = self.send("key-a", lambda: self.wait_for(lambda: not is_confirmed()))
-        self.assertIs(given, expired)
+        answer = self.send("key-a", lambda: self.wait_for(lambda: not is_confirmed()))
+        self.assertIs(answer, expired)
         self.assertIs(self.send("key-a"), expired)
         self.assertIs(self.send("unknown"), expired)
         self.assertFalse(self.gateway.is_ready())
--- a/tests/test_usage_reports.py
+++ b/tests/test_usage_reports.py
@@ -37,7 +37,7 @@
             world.serve("g1", "beta")
             world.step()
 
-    def test_calm(self):
+    def test_no_failures(self):
         """Each window is reported soon after its end, with exact counts."""
         with usage_world.world() as world:
             self.serve_and_run(world)
--- a/tests/test_weights_fencing.py
+++ b/tests/test_weights_fencing.py
@@ -19,7 +19,7 @@
 FLIGHT_SECONDS = 0.2
 
 
-class StoppableController:
+class SuspendableController:
     """A controller lease whose process can be suspended before or after its check."""
 
     def __init__(self, process_id, state):
@@ -29,38 +29,40 @@
         self.options = options.Options(process_id, upstreams=upstreams)
         self.state = state
         self.real = controller.Controller(self.options, state)
-        self.stops_before_check = False
-        self.stops_after_check = False
-        self.is_stopped = False
-        # Fencing number that it held when it was stopped.
-        self.stopped_number = 0
+        self.suspends_before_check = False
+        self.suspends_after_check = False
+        self.is_suspended = False
+        # Fencing number that it held when it was suspended.
+        self.number_when_suspended = 0
         self._resumed = eventlet.event.Event()
         self.task = None
 
     def fencing_number(self):
         # The planning pass and the greenlet that sends an order both call this. Only
-        # the latter stops.
+        # the latter is suspended.
         is_sending = eventlet.getcurrent() is not self.task._task
-        if self.is_stopped or (self.stops_before_check and is_sending):
-            self._stop()
+        if self.is_suspended or (self.suspends_before_check and is_sending):
+            self._suspend()
         number = self.real.fencing_number()
-        if self.stops_after_check and is_sending:
-            self._stop()
+        if self.suspends_after_check and is_sending:
+            self._suspend()
         return number
 
     def may_order_unfenced(self):
         return self.real.may_order_unfenced()
 
     def resume(self):
-        self.stops_before_check = self.stops_after_check = self.is_stopped = False
+        self.suspends_before_check = self.suspends_after_check = self.is_suspended = (
+            False
+        )
         self._resumed.send()
 
-    def _stop(self):
-        if not self.is_stopped:
+    def _suspend(self):
+        if not self.is_suspended:
             # In a suspended process, the renewal of its lease does not run either.
             self.real._task.kill()
-            self.stopped_number = self.real._decision.number
-        self.is_stopped = True
+            self.number_when_suspended = self.real._decision.number
+        self.is_suspended = True
         self._resumed.wait()
 
 
@@ -78,7 +80,7 @@
             controller_,
         )
         # The timers of a suspended process do not run. Without a longer limit, its
-        # order would time out while it is stopped.
+        # order would time out while it is suspended.
         controller_.task._flight_seconds = 10 * support.WAIT_SECONDS
         controller_.task.start()
         self.addCleanup(controller_.task.stop)
@@ -87,15 +89,15 @@
         self.state.submit(commands.PublishWeights("outage", "planner", version))
 
     def roll_out_by_newer_controller(self, engine, older):
-        newer = StoppableController("gw-2", self.state)
+        newer = SuspendableController("gw-2", self.state)
         self.start_task([engine], newer)
         self.publish(2)
         support.wait_for(lambda: engine.loaded == {2})
         numbers = [each["fencing_number"] for each in engine.received]
-        self.assertGreater(min(numbers), older.stopped_number)
+        self.assertGreater(min(numbers), older.number_when_suspended)
 
     @tools.params(True, False)
-    def test_stopped_before_the_check(self, checks_fencing):
+    def test_suspended_before_the_check(self, checks_fencing):
         """A controller is suspended after it has connected to send an order.
 
         The order is for version 1. Meanwhile another controller takes over and rolls
@@ -105,12 +107,12 @@
         """
         engine = support.FakeEngine("e0", checks_fencing)
         self.addCleanup(engine.stop)
-        older = StoppableController("gw-1", self.state)
+        older = SuspendableController("gw-1", self.state)
         self.start_task([engine], older)
         support.wait_for(older.may_order_unfenced)
-        older.stops_before_check = True
+        older.suspends_before_check = True
         self.publish(1)
-        support.wait_for(lambda: older.is_stopped)
+        support.wait_for(lambda: older.is_suspended)
         self.roll_out_by_newer_controller(engine, older)
         n_received = len(engine.received)
         older.resume()
@@ -118,7 +120,7 @@
         self.assertEqual(len(engine.received), n_received)
         self.assertEqual((engine.version, engine.loaded), (2, {2}))
 
-    def test_stopped_after_the_check(self):
+    def test_suspended_after_the_check(self):
         """A controller is suspended between the check of its lease and the write.
 
         Its order for version 1 then arrives after another controller has rolled out
@@ -127,12 +129,12 @@
         """
         engine = support.FakeEngine("e0", checks_fencing=True)
         self.addCleanup(engine.stop)
-        older = StoppableController("gw-1", self.state)
+        older = SuspendableController("gw-1", self.state)
         self.start_task([engine], older)
         support.wait_for(older.may_order_unfenced)
-        older.stops_after_check = True
+        older.suspends_after_check = True
         self.publish(1)
-        support.wait_for(lambda: older.is_stopped)
+        support.wait_for(lambda: older.is_suspended)
         self.roll_out_by_newer_controller(engine, older)
         fenced = counters.DROPS.labels(reasons.Reason.ORDER_FENCED.value)
         n_fenced = fenced._value.get()
@@ -152,7 +154,7 @@
         """
         ignoring = support.FakeEngine("e0", checks_fencing=False)
         checking = support.FakeEngine("e1", checks_fencing=True)
-        newer = StoppableController("gw-2", self.state)
+        newer = SuspendableController("gw-2", self.state)
         self.publish(1)
         allowed = {}
         for engine in (ignoring, checking):
@@ -211,11 +213,11 @@
         limit = connection.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
         self.assertEqual(limit, 1500)
 
-    def test_connection_is_reset_after_a_time_out(self):
+    def test_connection_is_reset_after_a_timeout(self):
         """The engine does not answer in time.
 
         If the connection were closed in an orderly way, the kernel would still deliver
-        the order after its time-out. A reset discards the data that has not been sent.
+        the order after its timeout. A reset discards the data that has not been sent.
         """
         accepted = eventlet.spawn(self.listener.accept)
         outcome = sender.send(self.order, lambda order: 1, 0.2, 0.2)
@@ -239,12 +241,12 @@
 
         If the number were read before that, an order could be sent without the lease.
         """
-        asked = []
+        read_at = []
         accepted = eventlet.spawn(self.listener.accept)
 
         def fencing_number(order):
             accepted.wait()
-            asked.append(clock.now())
+            read_at.append(clock.now())
 
         outcome = sender.send(self.order, fencing_number, 5.0, 5.0)
-        self.assertEqual((len(asked), outcome), (1, orders.NotSent()))
+        self.assertEqual((len(read_at), outcome), (1, orders.NotSent()))
--- a/tests/test_weights_processes.py
+++ b/tests/test_weights_processes.py
@@ -200,7 +200,7 @@
         processes.wait_for(
             lambda: self.ask(controller, "GET", "/readyz")[0] == 200,
             WAIT_SECONDS,
-            "the frozen gateway ready again",
+            "the suspended gateway ready again",
         )
         self.wait_for_version(version, controller)
         for i in range(3):
--- a/tests/upstreams_net.py
+++ b/tests/upstreams_net.py
@@ -35,7 +35,7 @@
     rate: float
     incarnation: int
     core: object = None
-    is_frozen: bool = False
+    is_suspended: bool = False
     # Events that wait while the process is paused.
     waiting: list = attrs.field(factory=list)
     replies: list = attrs.field(factory=list)
@@ -93,7 +93,7 @@
         node.core = directory.Directory(
             process_id, node.incarnation, LEASE, RENEW, STANDING, self.max_mesh
         )
-        node.is_frozen = False
+        node.is_suspended = False
         node.waiting = []
         self._step(node, self._tick())
 
@@ -103,12 +103,12 @@
         node.incarnation += 1
         node.waiting = []
 
-    def freeze(self, process_id):
-        self.nodes_by_id[process_id].is_frozen = True
+    def suspend(self, process_id):
+        self.nodes_by_id[process_id].is_suspended = True
 
-    def wake(self, process_id):
+    def resume(self, process_id):
         node = self.nodes_by_id[process_id]
-        node.is_frozen = False
+        node.is_suspended = False
         waiting, node.waiting = node.waiting, []
         for event in waiting:
             self._step(node, event)
@@ -165,7 +165,7 @@
         node = self.nodes_by_id[process_id]
         if node.core is None:
             return None
-        if node.is_frozen:
+        if node.is_suspended:
             node.waiting.append(event)
             return None
         node.replies = []
@@ -179,7 +179,7 @@
             self._deliver()
             self._renew_all()
             for node in self.nodes_by_id.values():
-                if node.core is not None and not node.is_frozen:
+                if node.core is not None and not node.is_suspended:
                     self._step(node, self._tick())
             self._deliver()
             if check:
@@ -236,7 +236,7 @@
             node.process_id
             for node in self.nodes_by_id.values()
             if node.core is not None
-            and not node.is_frozen
+            and not node.is_suspended
             and (self.balancer is None or node.process_id in self.balancer)
         ]
         return self.random.choice(usable)
@@ -299,7 +299,7 @@
                 node = self.nodes_by_id[receiver]
                 if node.core is None:
                     continue
-                if node.is_frozen:
+                if node.is_suspended:
                     node.waiting.append(event)
                 else:
                     self._step(node, event)
