--- a/tests/test_samples_attempts.py
+++ b/tests/test_samples_attempts.py
@@ -7,6 +7,7 @@
 from nose2 import tools
 
 from bilberrydrum import clock, reasons
+from bilberrydrum.requests import events
 from bilberrydrum.requests import model as request_model
 from bilberrydrum.samples import attempts, model, scheduling
 from tests import samples_support as support
@@ -97,6 +98,22 @@
         ids = [call.request_id for call in self.dispatcher.calls]
         self.assertEqual(len(set(ids)), 2)
 
+    def test_complete_text_is_not_resumed(self) -> None:
+        """An engine crashes after its last event and before the end marker.
+
+        The event has the finish reason, so the text is complete. If the attempt is
+        resumed after it, the sample continues after the end of its text, and its tokens
+        are not those that a weight version generates.
+        """
+        reader = events.StreamReader("r", "engine-1")
+        choice = {"text": " 1 2", "token_ids": [1, 2], "finish_reason": "stop"}
+        document = {"id": "r", "choices": [choice], "weight_version": 0}
+        received = reader.feed(b"data: " + json.dumps(document).encode() + b"\n\n")
+        rest = [support.tokens(3), support.finished()]
+        self.attempt([[*received, failed()], rest]).run()
+        resumed_from = [call.resume_token_ids for call in self.dispatcher.calls]
+        self.assertNotIn((1, 2), resumed_from)
+
     def test_attempt_is_not_resumed_without_another_engine(self) -> None:
         """An engine crashes in mid-stream and no other engine can resume the sample.
 
