--- a/bilberrydrum/state/snapshot.py
+++ b/bilberrydrum/state/snapshot.py
@@ -55,9 +55,9 @@
         raise SnapshotError("the snapshot's digest does not match its content")
     fields: list[Any] = msgpack.unpackb(body)
     if fields[0] != FORMAT:
-        raise SnapshotError(
-            f"unknown snapshot format: expected {FORMAT}, got {fields[0]}"
-        )
+        # The text becomes part of the replicated answer to a restore. If two releases
+        # had different texts, the states of their replicas would differ.
+        raise SnapshotError(f"snapshot format {fields[0]} is not known")
     return fields
 
 
